--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -1,4 +1,4 @@
-//! Keys of requests: claimed before, settled after.
+//! Idempotency keys: claimed before a request runs, settled when its outcome is known.
 
 use super::{Daemon, Purpose, log, refusal_of};
 use crate::core::claims::{ClaimResult, ClaimStep};
@@ -9,7 +9,8 @@
 use crate::core::types::{RequestId, Timestamp, Version};
 
 impl Daemon {
-    /// Says in the claim what became of the request, if it had one.
+    /// Records the outcome of a request in its claim, if it has one. An unknown outcome leaves the
+    /// claim in place, so that the key is not used again.
     pub(super) fn settle_claim(&mut self, request: RequestId, outcome: &Outcome) {
         let Some(claimed) = self.claimed.remove(&request) else {
             return;
@@ -111,7 +112,7 @@
             }
             self.claimed.remove(&request);
             let outcome = refusal_of(result);
-            let text = format!("request {} is refused its key: {result:?}", request.0);
+            let text = format!("request {} not run, key not granted: {result:?}", request.0);
             log(out, Part::Claim, text);
             out.push(Action::Answer { request, outcome });
         }
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -1,4 +1,4 @@
-//! Which objects are in force: listed, watched, spread.
+//! Lists and watches objects on the platform, applies them, and notifies peers of changes.
 
 use std::time::Duration;
 
@@ -15,17 +15,18 @@
 use crate::core::types::{Address, FleetVersion, ReplicaId, Timestamp};
 use crate::settings::learning::FeedLayout;
 
-/// The more daemons read the host list, the more rarely each does, so that the calls
-/// grow more slowly than the fleet; never so rarely that a leaving host is used on.
+/// The interval between two host watches of a daemon. It grows with the number of daemons that
+/// read the host list, so that calls grow more slowly than the fleet, up to a maximum that keeps
+/// daemons from using a leaving host for too long.
 fn spacing_among(spacing: Duration, daemons: usize) -> Duration {
-    /// Daemons up to which the spacing is that of the settings.
+    /// Number of daemons up to which the configured spacing applies unchanged.
     const FEW: f64 = 16.0;
     const MOST: Duration = Duration::from_millis(1_200);
     let stretched = spacing.mul_f64((daemons as f64 / FEW).max(1.0));
     stretched.min(MOST.max(spacing))
 }
 
-/// The confirmation of the higher revision; of two for the same, the later one.
+/// The confirmation of the higher revision, or the later of two for the same revision.
 pub(super) fn newer(
     known: Option<Confirmation>,
     other: Option<Confirmation>,
@@ -35,7 +36,8 @@
 }
 
 impl Daemon {
-    /// Reads each feed once, then watches it if it is this daemon's turn.
+    /// Issues the next call of each feed: a list first, then watches if this daemon is one that
+    /// watches the scope.
     pub(super) fn learn(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.has_stopped {
             return;
@@ -66,14 +68,14 @@
         }
     }
 
-    /// Whether this daemon reads a scope from the platform now, or peers tell it.
+    /// Whether this daemon reads a scope from the platform now rather than from peers.
     fn reads(&self, now: Timestamp, scope: Scope) -> bool {
         let settings = self.settings.learning;
         match scope {
             _ if !settings.relays => true,
             Scope::Hosts => self.reads_hosts(now),
             Scope::Shared | Scope::Configuration => {
-                // A daemon that just started gives its peers as much time as later.
+                // At the start, peers have as much time to confirm as they do later.
                 let confirmed_at = self.confirmed_at().unwrap_or(Timestamp::ZERO);
                 let is_confirmed = now.since(confirmed_at) < self.asks_exactly_after(now);
                 self.may_read(now) && !is_confirmed
@@ -81,9 +83,9 @@
         }
     }
 
-    /// How long after the configuration was confirmed this daemon asks the platform, where
-    /// peers relay: the first watcher always, the others once that one has failed, who
-    /// are no watchers last.
+    /// How long after the last confirmation of the configuration this daemon reads it from the
+    /// platform itself, where peers relay: the first watcher at once, the other watchers after
+    /// the first one has failed, and all other daemons last.
     fn asks_exactly_after(&self, now: Timestamp) -> Duration {
         let settings = self.settings.learning;
         if self.is_first_watcher(now) {
@@ -95,14 +97,15 @@
         }
     }
 
-    /// Whether this daemon is the one that peers rely on for a confirmed configuration.
+    /// Whether this daemon is the one watcher of its failure domain that always confirms the
+    /// configuration.
     pub(super) fn is_first_watcher(&self, now: Timestamp) -> bool {
         self.membership.is_responsible(now, WATCH_DUTY, 1)
     }
 
-    /// How this daemon watches a scope now, if it does. The watchers of a failure
-    /// domain ask exactly. Where the others watch too, stale answers do for them as
-    /// long as a watcher confirms the configuration.
+    /// The freshness with which this daemon watches a scope, or `None` if it doesn't watch it.
+    /// The watchers of a failure domain require exact answers. With stale watches the other
+    /// daemons watch too, and accept stale answers while a watcher confirms the configuration.
     fn watch_of(&self, now: Timestamp, scope: Scope) -> Option<Freshness> {
         let settings = self.settings.learning;
         if !settings.stale_watches {
@@ -121,7 +124,7 @@
         })
     }
 
-    /// Whether this daemon is one of its failure domain's watchers.
+    /// Whether this daemon is one of the watchers of its failure domain.
     pub(super) fn is_watcher(&self, now: Timestamp) -> bool {
         let watchers = self.settings.learning.watchers;
         self.membership.is_responsible(now, WATCH_DUTY, watchers)
@@ -145,7 +148,7 @@
         let scope = feed.scope();
         self.confirmation = newer(self.confirmation, feed.confirmation(result));
         let spacing = match scope {
-            // Whoever holds control is the first to need the news.
+            // The lease holder acts on host changes, so it watches three times as often.
             Scope::Hosts if self.was_holder => self.settings.learning.host_spacing / 3,
             Scope::Hosts if self.settings.learning.relays => self.settings.learning.host_spacing,
             Scope::Hosts => {
@@ -157,7 +160,7 @@
         feed.on_answer(now, result, spacing, pause, self.confirmation);
         let is_list_known = scope != Scope::Hosts || self.state.whole_hosts().is_some();
         if feed.has_listed() && !is_list_known {
-            // The list was older than what peers told.
+            // The list was older than the one known from peers.
             feed.list_again(now);
         }
         if matches!(result, Ok(PlatformReply::Objects { .. })) {
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Writes a configuration again that the store lost, where daemons write configurations.
+    /// Rewrites a configuration that the store lost, in layouts where daemons write
+    /// configurations.
     fn rewrite_lost_fleet(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let writes = self.settings.learning.feeds == FeedLayout::Shared;
         if !writes || !self.state.is_fleet_lost() || !self.is_first_watcher(now) {
@@ -180,12 +184,12 @@
             expect: self.state.stored_fleet_version(),
             object: Box::new(Object::Fleet(fleet.value.clone())),
         };
-        let text = format!("the platform lost Fleet version {version}, it is written again");
+        let text = format!("platform lost Fleet version {version}; rewriting it");
         log(out, Part::Config, text);
         self.call(Purpose::RewriteFleet, request, out);
     }
 
-    /// The time of which the configuration in force is known to be the newest.
+    /// The latest time at which the configuration in force is known to have been the newest.
     pub(super) fn confirmed_at(&self) -> Option<Timestamp> {
         let own = self
             .feeds
@@ -195,7 +199,7 @@
         own.max(self.confirmed_by_peer)
     }
 
-    /// The time of which the host list is known to be true.
+    /// The latest time at which the host list is known to have been current.
     pub(super) fn hosts_as_of(&self) -> Option<Timestamp> {
         let feed = self
             .feeds
@@ -204,9 +208,9 @@
         feed.and_then(Feed::as_of)
     }
 
-    /// Until when requests with a key may be sent on what is known now. A daemon that just
-    /// started may know only a confirmation from before, and none lets it send nothing: its
-    /// start confirms nothing.
+    /// The time until which requests with an API key may be sent with the known configuration, or
+    /// `None` if keys don't expire. A start confirms nothing: a daemon that has just started counts
+    /// from the last confirmation before its start, and without one sends no such request.
     pub(super) fn keys_valid_until(&self) -> Option<Timestamp> {
         let valid_for = self.settings.learning.keys_valid_for()?;
         if let Some(confirmed_at) = self.confirmed_at() {
@@ -216,16 +220,17 @@
         Some(Timestamp::ZERO + valid_for.saturating_sub(before_start))
     }
 
-    /// Whether a newer configuration has been known of for so long that this one must not be
-    /// served by. Guards against a link that is too full for the newer one: callers are told
-    /// to come back, where a key that was taken away or a route that is gone would be used.
-    /// A daemon that is cut off from all who know the newer one serves on.
+    /// Whether a newer configuration has been known to exist for so long that requests must not
+    /// be served with this one. This covers a link too busy to deliver the newer configuration in
+    /// time: callers are told to retry, where otherwise a revoked key or a removed route would
+    /// still be used. A daemon that is cut off from every daemon that knows the newer
+    /// configuration keeps serving.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
         let within = self.settings.learning.served_when_superseded();
         within.is_some_and(|within| self.superseded.is_known_for(now, within))
     }
 
-    /// Takes in objects that are newer, and tells peers of them.
+    /// Applies objects that are newer than the known ones, and notifies peers of them.
     pub(super) fn apply(
         &mut self,
         now: Timestamp,
@@ -248,7 +253,7 @@
             }
             if applied == Applied::All {
                 is_changed = true;
-                // Daemons that hear of hosts from peers ask for them at intervals.
+                // Daemons that relay the host list pull it at intervals and need no notice.
                 is_news |= key != ObjectKey::Hosts || !self.settings.learning.relays;
                 let text = format!("{key:?} version {version} is in force");
                 log(out, Part::Config, text);
@@ -265,17 +270,18 @@
         }
     }
 
-    /// Logs once that an older configuration than the one in force was read.
+    /// Logs, once per version, that a configuration older than the one in force was ignored.
     fn note_passed_over(&mut self, version: FleetVersion, out: &mut Vec<Action>) {
         let in_force = self.state.fleet_version();
         if version == in_force || self.passed_over.replace(version) == Some(version) {
             return;
         }
-        let text = format!("Fleet version {version} is passed over, {in_force} is in force");
+        let text = format!("ignored Fleet version {version}: {in_force} is in force");
         log(out, Part::Config, text);
     }
 
-    /// Requests that wait and are no longer allowed end here.
+    /// Rebuilds the route table for a new configuration. Queued requests whose key is no longer
+    /// valid end here.
     fn rebuild_routes(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let Some(fleet) = self.state.fleet() else {
             return;
@@ -316,7 +322,7 @@
         send_notice(peers, &notice, out);
     }
 
-    /// A notice that tells versions alone.
+    /// A notice that carries only the known versions.
     pub(super) fn notice(&self) -> Notice {
         Notice {
             from: self.identity.address,
@@ -328,7 +334,7 @@
     }
 }
 
-/// Tells all these peers the same.
+/// Sends the same notice to all these peers.
 pub(super) fn send_notice(peers: Vec<Address>, notice: &Notice, out: &mut Vec<Action>) {
     for to in peers {
         let notice = notice.clone();
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -1,4 +1,4 @@
-//! The lease, and what its holder does.
+//! The control lease of the failure domain, and the work of its holder.
 
 use std::collections::BTreeSet;
 
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Whoever holds control forms groups in the order in which the work needs them.
+    /// Passes the fleet's demand to the controller of the lease holder, which forms groups in the
+    /// order in which demand needs them.
     fn tell_controller_work(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if !self.was_holder || now < self.next_work_at {
             return;
@@ -106,7 +107,7 @@
     }
 
     fn listing(&self, now: Timestamp) -> Listing {
-        // Only the holder needs the number of failure domains.
+        // Only the lease holder needs the number of failure domains.
         let hosts = self.state.whole_hosts().filter(|_| self.was_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
             .iter()
@@ -148,7 +149,10 @@
                 address,
                 order,
             } => {
-                let text = format!("orders {host}, group {}: {}", order.group.0, order.command);
+                let text = format!(
+                    "sends order to {host}, group {}: {}",
+                    order.group.0, order.command
+                );
                 log(out, Part::Place, text);
                 out.push(Action::Order {
                     host,
@@ -209,8 +213,9 @@
         }
     }
 
-    /// What is stored may be of a copy that the store was restored from: then what this daemon knows
-    /// to be newer goes first, and what stands where nothing is known.
+    /// Adopts the stored assignment. After a restore of the store it may be an older copy: then
+    /// a newer assignment that this daemon knows takes precedence, and the copy is used only where
+    /// nothing newer is known.
     fn on_assignment_read(
         &mut self,
         now: Timestamp,
@@ -246,7 +251,8 @@
         assignment: Option<Versioned<Assignment>>,
         out: &mut Vec<Action>,
     ) {
-        // Where the host list tells which groups stand, nobody else needs the assignment.
+        // With other layouts the host list shows which groups exist, and only the lease holder
+        // needs the assignment.
         let is_needed = self.settings.learning.feeds == FeedLayout::Shared;
         let Some(assignment) = assignment.filter(|_| is_needed) else {
             return;
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -1,8 +1,8 @@
-//! How many requests upstreams in need take from all daemons together: who owns a limit, what its
-//! owner is told, and the permits that it hands out.
+//! Request limits that overloaded upstreams name, enforced over all daemons together: each limit
+//! has an owner daemon that collects reports of the limit and grants permits for requests.
 //!
-//! A limit's owner is a daemon of the upstream's failure domain, so that a cut between failure
-//! domains leaves it one owner on the side that reaches it.
+//! The owner belongs to the upstream's failure domain, so that a network partition between failure
+//! domains leaves one owner on the side that reaches the upstream.
 
 use super::configuration::send_notice;
 use super::{Daemon, log};
@@ -17,7 +17,7 @@
             .owner(now, &report.failure_domain, &report.upstream)
     }
 
-    /// Tells a limit's owner what an answer said.
+    /// Reports a limit that an upstream named in a response to the owner of the limit.
     pub(super) fn tell_limit(
         &mut self,
         now: Timestamp,
@@ -69,7 +69,7 @@
             .filter(|report| report.rate.is_none())
             .collect();
         if !in_force.is_empty() {
-            // The asker has missed that the limit ended.
+            // The requesting daemon missed that the limit ended.
             let limits = LimitsNotice {
                 in_force,
                 ..LimitsNotice::default()
@@ -79,7 +79,7 @@
         self.grant_permits(now, out);
     }
 
-    /// Hands out permits of the limits that this daemon owns, and tells all of those that
+    /// Grants permits of the limits that this daemon owns, and notifies all daemons of limits that
     /// began or ended.
     pub(super) fn tick_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         self.grant_permits(now, out);
@@ -89,7 +89,7 @@
     fn grant_permits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         for Granted { daemon, grant } in self.permits.grant(now) {
             let text = format!(
-                "grants {} requests at {} to {daemon}",
+                "granting permits for {} requests to {} to daemon {daemon}",
                 grant.count, grant.upstream
             );
             log(out, Part::Route, text);
@@ -115,7 +115,8 @@
         self.send_limits(all, limits, out);
     }
 
-    /// Sends to peers; what is for this daemon itself is taken in at once.
+    /// Sends a limits notice to daemons. If this daemon is among them, its copy is queued for
+    /// [`Self::take_own_limits`].
     fn send_limits(&mut self, to: Vec<Address>, limits: LimitsNotice, out: &mut Vec<Action>) {
         let me = self.identity.address;
         let notice = Notice {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Takes in what this daemon, as an owner, has for itself.
+    /// Processes the limit notices that this daemon addressed to itself.
     pub(super) fn take_own_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let me = self.identity.address;
         for limits in std::mem::take(&mut self.own_limits) {
@@ -137,8 +138,9 @@
         }
     }
 
-    /// Takes in what a peer tells. Only a limit's owner by this daemon's own view answers for it:
-    /// else two would hand out permits where peers see other members.
+    /// Processes a limits notice of a peer. Reports and permit requests are accepted only if this
+    /// daemon is the owner by its own view of the membership: otherwise two daemons could grant
+    /// permits of one limit while peers see different members.
     pub(super) fn on_limits_told(
         &mut self,
         now: Timestamp,
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -1,21 +1,21 @@
-//! The whole of a daemon's decisions, behind one entry.
+//! The decision logic of one daemon, free of I/O.
 //!
-//! A harness builds a [`Daemon`], gives it events with the time, and carries
-//! out the actions that come back. Nothing else is needed to step it: the
-//! daemon process does the same with sockets and timers.
+//! The caller builds a [`Daemon`], passes it events together with the current time, and carries
+//! out the actions that it returns. Tests drive it in simulated time; the daemon process drives
+//! it with sockets and timers.
 //!
-//! - `platform_calls`: calls to the platform, and where their answers go
-//! - `configuration`: which objects are in force: listed, watched, spread
+//! - `platform_calls`: issues calls to the platform and dispatches their replies
+//! - `configuration`: lists and watches objects, applies them, and notifies peers of changes
 //! - `peers`: pulls and notices between daemons
-//! - `quarantine`: what daemons tell each other of requests that crash upstreams
-//! - `relays`: what daemons that don't read the platform hear from peers
-//! - `control`: the lease, and what its holder does
-//! - `limits`: how many requests upstreams in need take from all daemons together
-//! - `operators`: plans and confirms
-//! - `requests`: requests of callers, and what the router decides
-//! - `claiming`: keys of requests: claimed before, settled after
-//! - `stopping`: a planned stop
-//! - `store_era`: which era of the platform's store answers are of
+//! - `quarantine`: exchanges reports of requests that crash upstreams
+//! - `relays`: distributes the host list to daemons that don't read it from the platform
+//! - `control`: the control lease of a failure domain, and the work of its holder
+//! - `limits`: enforces, over all daemons, the request rates that overloaded upstreams ask for
+//! - `operators`: plan and confirm calls of operators
+//! - `requests`: requests of callers, and the router's actions
+//! - `claiming`: claims idempotency keys before requests run and settles them afterwards
+//! - `stopping`: planned shutdown
+//! - `store_era`: detects that the platform's store was restored, and rejects outdated replies
 
 mod claiming;
 mod configuration;
@@ -63,70 +63,79 @@
 
 use self::store_era::{EraState, OpenCall};
 
-/// How often a [`Event::Tick`] should come.
+/// Interval at which the caller must deliver [`Event::Tick`].
 pub const TICK: Duration = Duration::from_millis(50);
-/// Daemons of a failure domain that try to get its lease.
+/// Number of daemons per failure domain that try to acquire its control lease.
 const CANDIDATES: usize = 3;
-/// The duty of asking the platform exactly.
+/// Membership duty of reading the platform with [`Freshness::Exact`].
+///
+/// [`Freshness::Exact`]: crate::core::platform::Freshness::Exact
 const WATCH_DUTY: &str = "watch";
-/// Time between two questions to a watcher whether the configuration still holds.
+/// Minimum time between two pulls that ask a watcher to confirm the configuration.
 const CONFIRM_SPACING: Duration = Duration::from_millis(400);
-/// Time between two tellings of replicas that lost a member.
+/// Minimum time between two reports of replicas that may have lost a member.
 const SUSPECTS_INTERVAL: Duration = Duration::from_millis(500);
-/// Outputs of replicas that are older are left out of the answer to what moves. A
-/// loss is decided on within 400 ms, and older outputs prove nothing then.
+/// Maximum age of a replica's last output that is reported as a sign of progress. The controller
+/// decides on a loss within 400 ms, so older outputs prove nothing.
 const MOVING_WITHIN: Duration = Duration::from_millis(500);
-/// Daemons that are asked whether a replica moves. One in five of ninety daemons
-/// runs a request at a given replica, so that some of twelve do in nine cases of ten.
+/// Number of peers asked for the last output of a replica. With 90 daemons, one in five runs a
+/// request on a given replica, so at least one of 12 does in nine cases out of ten.
 const MOVING_WITNESSES: usize = 12;
-/// Time between two sums of the work that arrives at the fleet.
+/// Interval at which the lease holder recomputes the demand on the fleet.
 const WORK_INTERVAL: Duration = Duration::from_secs(1);
-/// Peers told at once of something new.
+/// Number of peers notified at once when an object changes.
 const RUMOUR_FANOUT: usize = 3;
-/// Pause before a failed watch is tried again, to which up to as much is added.
+/// Minimum delay before a failed watch is retried. Random jitter of up to the same length is
+/// added.
 const WATCH_PAUSE: Duration = Duration::from_millis(500);
 
-/// Who a daemon is; the same as long as it runs.
+/// The identity of a daemon, constant while it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// Its name, unique in the fleet.
+    /// The daemon's name, unique in the fleet.
     pub daemon: DaemonId,
-    /// Where it is.
+    /// The failure domain that the daemon's host belongs to.
     pub failure_domain: FailureDomain,
-    /// Where peers reach it.
+    /// The address at which peers reach the daemon.
     pub address: Address,
-    /// This run of it; higher than any before.
+    /// Number of this run of the daemon; higher than that of any earlier run.
     pub incarnation: Incarnation,
-    /// Peers to ask first.
+    /// Addresses of peers to contact before any member is known.
     pub seeds: Vec<Address>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the whole fleet starts for the first time, so that nothing is stored yet.
     pub is_first_start: bool,
-    /// Wall clock at the start, in seconds since 1970; for the age of claims only.
+    /// Wall clock time at the start, in seconds since the Unix epoch. Used only for the age of
+    /// claims.
     pub wall_seconds: u64,
 }
 
-/// Why a platform call was made.
+/// What a platform call was made for; decides where its reply goes.
 #[derive(Clone, Debug)]
 enum Purpose {
+    /// The feed at this index lists or watches its scope.
     Feed(usize),
+    /// Reads or writes the control lease.
     Lease,
+    /// Reads or writes the assignment of this failure domain.
     Assignment,
+    /// Reads or writes this partition of the claims.
     Claims(u16),
+    /// Part of a plan or confirm call.
     Operator(OperatorCallId),
-    /// A configuration that the store lost is written again.
+    /// Rewrites a configuration that the store lost.
     RewriteFleet,
 }
 
-/// A request with a key, from its claim to its answer.
+/// A request with an idempotency key, from its claim to its outcome.
 #[derive(Clone, Debug)]
 struct Claimed {
     key: KeyHash,
     claimant: OperationId,
-    /// Set while the claim is not yet granted.
+    /// The request's metadata, until the claim is granted.
     waiting: Option<RequestMeta>,
 }
 
-/// The decisions of one daemon.
+/// The state and decision logic of one daemon.
 #[derive(Clone, Debug)]
 pub struct Daemon {
     settings: CoreSettings,
@@ -137,13 +146,13 @@
     lease: ControlLease,
     controller: Controller,
     claims: ClaimBook,
-    /// The limits of upstreams that this daemon owns.
+    /// The request limits that this daemon owns, and their permits.
     permits: PermitOwner,
-    /// The trials that this daemon hands out.
+    /// The trials that this daemon owns and grants.
     trials: TrialOwner,
-    /// Trials that it has for itself.
+    /// Trials that this daemon granted to itself and has not started yet.
     own_trials: Vec<TrialGrant>,
-    /// What this daemon has for itself as an owner of limits.
+    /// Limit notices that this daemon addressed to itself and has not processed yet.
     own_limits: Vec<LimitsNotice>,
     operators: Operators,
     router: Router,
@@ -156,22 +165,22 @@
     feeds: Vec<Feed>,
     routes: RouteTable,
     confirmed_by_peer: Option<Timestamp>,
-    /// The newest revision that the platform is known to have reached.
+    /// The newest known revision of the platform, and when it was confirmed.
     confirmation: Option<Confirmation>,
-    /// The last configuration that was read and is older than the one in force.
+    /// The last configuration version that was ignored because a newer one is in force.
     passed_over: Option<FleetVersion>,
     next_confirm_at: Timestamp,
     next_relay_at: Timestamp,
-    /// The time of which peers told the host list.
+    /// When the platform last answered the daemons that the peers' host list comes from.
     hosts_told_at: Option<Timestamp>,
     whole_fetch: WholeFetch,
     superseded: Superseded,
-    /// How long before the start of this daemon the platform confirmed the configuration, as
-    /// peers told; counts until it is confirmed again.
+    /// Age, at the start of this daemon, of the platform's last confirmation of the
+    /// configuration, as reported by peers. Used until the configuration is confirmed again.
     confirmed_before_start: Option<Duration>,
     next_suspects_at: Timestamp,
     was_holder: bool,
-    /// A request came in since the start.
+    /// Whether a request has arrived since the start.
     has_served: bool,
     is_leaving: bool,
     is_stopping: bool,
@@ -179,7 +188,8 @@
 }
 
 impl Daemon {
-    /// A daemon that knows its settings and nothing else.
+    /// Creates a daemon that knows no objects and no peers but its seeds. `seed` initialises its
+    /// random number generator.
     pub fn new(settings: CoreSettings, identity: Identity, seed: u64) -> Self {
         let heartbeat = Heartbeat {
             daemon: identity.daemon.clone(),
@@ -245,37 +255,37 @@
         }
     }
 
-    /// The objects in force here.
+    /// The objects in force at this daemon.
     pub fn state(&self) -> &FleetState {
         &self.state
     }
 
-    /// The router, for status pages.
+    /// The router, for status reports.
     pub fn router(&self) -> &Router {
         &self.router
     }
 
-    /// The lease, for status pages.
+    /// The control lease, for status reports.
     pub fn lease(&self) -> &ControlLease {
         &self.lease
     }
 
-    /// The members, for status pages.
+    /// The fleet's members, for status reports.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Who this daemon is.
+    /// The identity of this daemon.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Whether new callers should come: it has a configuration and does not stop.
+    /// Whether the daemon should receive new requests: it has a configuration and is not leaving.
     pub fn is_ready(&self) -> bool {
         self.state.fleet().is_some() && !self.is_leaving
     }
 
-    /// The customer that a key belongs to, by the key's SHA-256 in hexadecimal.
+    /// Looks up the customer whose API key has this SHA-256 digest, in hexadecimal of either case.
     pub fn customer_of(&self, key_sha256: &str) -> Option<Customer> {
         let fleet = self.state.fleet()?;
         fleet
@@ -290,8 +300,14 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Where a relayed request goes. It is refused for good only on a configuration
-    /// that is known to be fresh, and not served on one that is known to be out of date.
+    /// Finds the service for a proxied request.
+    ///
+    /// # Errors
+    ///
+    /// [`RouteRefusal::NotReady`] if there is no configuration, if it is known to be out of date,
+    /// or if the route table refuses the request and the configuration was not confirmed
+    /// recently: a permanent refusal requires a fresh configuration. Otherwise the refusal of the
+    /// route table.
     pub fn route(&self, now: Timestamp, query: RouteQuery<'_>) -> Result<Routed, RouteRefusal> {
         if self.state.fleet().is_none() || self.is_out_of_date(now) {
             return Err(RouteRefusal::NotReady);
@@ -307,12 +323,12 @@
         routed
     }
 
-    /// The routes in force.
+    /// The route table in force.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// Takes in one event; what is to be done is added to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
@@ -394,7 +410,7 @@
     }
 }
 
-/// The feeds of a layout.
+/// The scopes that the feeds of a layout cover, one feed each.
 fn scopes(layout: FeedLayout) -> &'static [Scope] {
     match layout {
         FeedLayout::Shared => &[Scope::Shared],
@@ -402,7 +418,8 @@
     }
 }
 
-/// A list of hosts that may be stale is completed by the watches that follow it.
+/// Creates the feed of a scope. With stale watches, the initial host list may be stale too: the
+/// watches that follow bring it up to date.
 fn first_feed(scope: Scope, settings: LearningSettings) -> Feed {
     if scope == Scope::Hosts && settings.stale_watches {
         Feed::with_stale_list(scope)
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! Plans and confirms.
+//! Plan and confirm calls of operators.
 
 use super::{Daemon, Purpose, log};
 use crate::core::event::{Action, Part};
@@ -15,9 +15,12 @@
         out: &mut Vec<Action>,
     ) {
         let what = match &call {
-            OperatorCall::Plan(change) => format!("plans {change:?}"),
+            OperatorCall::Plan(change) => format!("planning {change:?}"),
             OperatorCall::Confirm(confirm) => {
-                format!("confirms {:?} on version {}", confirm.change, confirm.base)
+                format!(
+                    "confirming {:?} on version {}",
+                    confirm.change, confirm.base
+                )
             }
         };
         log(out, Part::Operator, what);
@@ -38,7 +41,7 @@
                 self.call(Purpose::Operator(id), request, out);
             }
             Some(OperatorStep::Answer(answer)) => {
-                // Whoever confirmed has it in force at once.
+                // Reads the written change back at once, so that it is in force here without delay.
                 if let Ok(PlatformReply::Written(_)) = result {
                     self.feeds.iter_mut().for_each(|feed| feed.hurry(now));
                 }
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -21,7 +21,8 @@
 use crate::core::types::{Address, FailureDomain, ReplicaId, Timestamp, Version};
 use crate::core::whole_fetch::Distance;
 
-/// So many milliseconds before then, if this daemon ran already.
+/// The time `millis` milliseconds before `at`, or `None` if that is not after the start of this
+/// daemon.
 fn before(at: Timestamp, millis: u64) -> Option<Timestamp> {
     let age = Duration::from_millis(millis);
     (age < at.as_duration()).then(|| at.minus(age))
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Asks a watcher of the own failure domain, once what this daemon knows of the
-    /// configuration was not confirmed for a while.
+    /// Pulls from a watcher of the own failure domain when the configuration has not been confirmed
+    /// for `confirm_after`.
     pub(super) fn ask_watcher(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let settings = self.settings.learning;
         let is_due = settings.stale_watches
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Whether nobody else is there to confirm the configuration to this daemon.
+    /// Whether no other daemon is expected to confirm the configuration to this one.
     fn asks_alone(&self, now: Timestamp) -> bool {
         if self.settings.learning.relays {
             self.is_first_watcher(now)
@@ -75,7 +76,7 @@
     pub(super) fn pull_of(&mut self, now: Timestamp, topic: PullTopic) -> Pull {
         let mut digest = self.state.digest();
         if self.knows_hosts(now) {
-            // Peers need not tell what this daemon reads itself.
+            // Keeps peers from sending the host list, which this daemon reads itself.
             digest.hosts = Version::MAX;
         }
         Pull {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// What arrived here, in messages that are not to be small.
+    /// Reports of demand; only in pulls of all topics, as the other messages are kept small.
     fn work_about(&mut self, now: Timestamp, topic: PullTopic) -> Vec<WorkReport> {
         match topic {
             PullTopic::All => self
@@ -110,7 +111,7 @@
         self.demand.merge(now, &self.identity.daemon, reports);
     }
 
-    /// Whether this daemon reads the host list itself, apart from the rest.
+    /// Whether this daemon reads the host list from the platform by a feed of its own.
     fn knows_hosts(&self, now: Timestamp) -> bool {
         const FRESH: Duration = Duration::from_secs(2);
         self.feeds
@@ -120,7 +121,8 @@
             .any(|heard_at| now.since(heard_at) < FRESH)
     }
 
-    /// Tells those who may hold a failure domain that a replica of it lost a member.
+    /// Reports replicas that may have lost a member to the daemons that may hold the lease of
+    /// their failure domain.
     pub(super) fn tell_suspects(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if now < self.next_suspects_at {
             return;
@@ -135,7 +137,7 @@
             .map(|replica| &replica.failure_domain)
             .collect();
         for domain in domains {
-            // Whoever got the lease need not be a candidate any more.
+            // The lease holder need not be a candidate any more.
             let membership = &self.membership;
             let mut told: BTreeSet<Address> = membership
                 .holder_addresses(now, domain)
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Asks some daemons which replicas of this failure domain bring them output, as a
-    /// member that this daemon can't reach may be cut off from it alone.
+    /// Asks some peers which replicas of this failure domain have recently sent them output: a
+    /// member that this daemon can't reach may be cut off from this daemon alone.
     pub(super) fn ask_moving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let domain = self.identity.failure_domain.clone();
         let own = self.last_outputs(now, &domain);
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Replicas of a failure domain that brought this daemon output lately.
+    /// Replicas of a failure domain that have recently sent this daemon output.
     fn last_outputs(&self, now: Timestamp, domain: &FailureDomain) -> Vec<LastOutput> {
         let outputs = self.router.last_outputs();
         outputs
@@ -189,8 +191,9 @@
             .collect()
     }
 
-    /// Replicas of this failure domain that brought a daemon output. `asked_at` is from
-    /// before it said so, so that no output seems newer than it is.
+    /// Passes on to the controller when replicas of this failure domain last sent a daemon output.
+    /// Ages count from `asked_at`, when the daemon was asked, so that no output seems newer than
+    /// it is.
     fn note_moving(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
         for LastOutput { replica, ms_ago } in moving {
             if let Some(at) = before(asked_at, ms_ago) {
@@ -238,10 +241,10 @@
         out.push(Action::AnswerPull { pull_id, reply });
     }
 
-    /// Objects that may be large go only to a peer that asks for them by that topic: each
-    /// daemon has one such question open, whatever else it asks of whom. With them in every
-    /// answer a daemon that is behind takes in several whole configurations at once, none of
-    /// them in time, and stays behind.
+    /// The updates to include in a pull reply. Objects that may be large are sent only for
+    /// [`PullTopic::WholeObjects`], of which each daemon has at most one pull open. If every reply
+    /// carried them, a daemon that is behind would receive several whole configurations at once,
+    /// none of them before the pull's time-out, and would stay behind.
     fn updates_for(&self, topic: PullTopic, known: &VersionDigest) -> Vec<ObjectUpdate> {
         let hosts = self.state.routable_hosts_after(known);
         match topic {
@@ -255,7 +258,7 @@
         }
     }
 
-    /// A peer knew the configuration in force here to be the newest, so long before it was
+    /// Records that a peer knew the configuration in force to be the newest, `age` before it was
     /// asked.
     fn note_confirmed(&mut self, asked_at: Timestamp, age: Duration) {
         match age.checked_sub(asked_at.as_duration()) {
@@ -270,14 +273,14 @@
         }
     }
 
-    /// A peer that knows a host list knows the era of the store.
+    /// Adopts the store's era from a peer's digest. A peer without a host list reports no era.
     fn note_era_of_peer(&mut self, now: Timestamp, digest: &VersionDigest, out: &mut Vec<Action>) {
         if digest.hosts > Version::NONE {
             self.note_era(now, digest.hosts.era, None, out);
         }
     }
 
-    /// Notes that a peer knows these versions, and which peer to ask for what is newer.
+    /// Records the versions that a peer knows, and the peer as a source of newer objects.
     fn hear_versions(&mut self, now: Timestamp, from: Address, digest: &VersionDigest) {
         let own = self.state.fleet_version();
         self.superseded.hear(now, digest.fleet, own);
@@ -287,7 +290,8 @@
         }
     }
 
-    /// A peer that is not known yet is taken for near, as is any while nothing can be served.
+    /// The distance of a peer. An unknown peer counts as near, and so does every peer while this
+    /// daemon has no configuration to serve with.
     fn distance_of(&self, peer: Address) -> Distance {
         let domain = self.membership.domain_of(peer);
         let is_far = domain.is_some_and(|domain| *domain != self.identity.failure_domain);
@@ -337,16 +341,17 @@
         self.note_era_of_peer(now, &reply.digest, out);
         self.note_work(now, reply.work);
         self.note_moving(asked_at, reply.moving);
-        // Reckoned from before the question: what is told on and on must not seem ever newer.
+        // Ages count from the time of the pull: information that is passed on repeatedly must not
+        // appear newer each time.
         self.learn_quarantine(now, asked_at, reply.quarantine, out);
         self.membership.merge(now, reply.gossip);
         self.apply(now, reply.updates, out);
-        // What a peer says of its configuration holds only for one that is as new.
+        // A peer's confirmation applies only if the configuration here is at least as new.
         let is_as_new = self.state.fleet_version() >= reply.digest.fleet;
         if let Some(age) = reply.confirmed_ms_ago.filter(|_| is_as_new) {
             self.note_confirmed(asked_at, Duration::from_millis(age));
         }
-        // An answer with whole objects held all that could be taken of them.
+        // A reply with whole objects already carried all objects that the peer has to offer.
         if topic != PullTopic::WholeObjects {
             self.hear_versions(now, from, &reply.digest);
         }
@@ -360,8 +365,8 @@
         self.confirmation = newer(self.confirmation, reached);
     }
 
-    /// Tells all peers of a replica that surely lost a member: each would else send it
-    /// requests until its list shows the loss.
+    /// Notifies all peers of a replica that is known to have lost a member. Otherwise each would
+    /// send it requests until its host list shows the loss.
     pub(super) fn tell_lost(&mut self, now: Timestamp, replica: ReplicaId, out: &mut Vec<Action>) {
         let peers = self
             .membership
--- a/shalehinge/src/core/daemon/platform_calls.rs
+++ b/shalehinge/src/core/daemon/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform, and where their answers go.
+//! Issues calls to the platform and dispatches their replies.
 
 use rand::Rng;
 
@@ -17,7 +17,7 @@
         out.push(Action::Platform { call, request });
     }
 
-    /// Answers that are still to come to a feed are passed over.
+    /// Forgets the open calls of a feed, so that replies still to come are ignored.
     pub(super) fn drop_calls_of_feed(&mut self, index: usize) {
         let is_other = |purpose: &Purpose| !matches!(purpose, Purpose::Feed(i) if *i == index);
         self.calls.retain(|_, call| is_other(&call.purpose));
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -1,8 +1,9 @@
-//! What daemons tell each other of requests that crash the upstreams that run them.
+//! Exchanges reports of requests that crash the upstreams that run them.
 //!
-//! Each lost attempt is told to a few daemons of each failure domain, which count them; whoever
-//! decides on a quarantine tells all. A message that is lost is made up for by the answers to
-//! the questions that each daemon asks a peer once a second, which hold all that is quarantined.
+//! Each lost attempt is reported to a few daemons of each failure domain, which count losses. The
+//! daemon that decides on a quarantine notifies all others. Lost notices are made up for by the
+//! replies to the gossip pulls that each daemon sends once a second: they list the quarantined
+//! requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,12 +19,12 @@
 use crate::core::trials::{TrialGrant, TrialRequest};
 use crate::core::types::{Address, FailureDomain, Timestamp};
 
-/// The duty of counting losses.
+/// Membership duty of counting lost attempts.
 const WITNESS_DUTY: &str = "quarantine";
-/// Daemons of each failure domain that count. One may be down, and each failure domain
-/// decides by itself when it is cut off.
+/// Number of daemons per failure domain that count lost attempts: one may be down, and a failure
+/// domain that is cut off must decide by itself.
 const WITNESSES: usize = 2;
-/// Requests in quarantine that an answer to a peer holds. Each takes some 20 bytes.
+/// Maximum number of quarantined requests in a pull reply. Each takes some 20 bytes.
 const MOST_TOLD: usize = 64;
 
 fn ago(now: Timestamp, millis: u64) -> Timestamp {
@@ -58,8 +59,8 @@
     }
 }
 
-/// What a report says in the time of this daemon. What is older than its start counts from
-/// there.
+/// Converts the ages in a report to times of this daemon. Times before its start are set to the
+/// start.
 fn news_of(now: Timestamp, report: QuarantineReport) -> QuarantineNews {
     let losses = report.losses.into_iter().map(|loss| Loss {
         fingerprint: loss.fingerprint,
@@ -88,7 +89,7 @@
 }
 
 impl Daemon {
-    /// Tells peers what is new.
+    /// Sends new losses to the daemons that count them, and all other new findings to all daemons.
     pub(super) fn tell_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let news = self.router.take_quarantine_news(now);
         if news.is_empty() {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Those who count the losses of all daemons, but for this one.
+    /// The daemons that count lost attempts, in all failure domains, without this one.
     fn witnesses(&self, now: Timestamp) -> Vec<Address> {
         let membership = &self.membership;
         let peers = membership.alive(now).map(|peer| &peer.failure_domain);
@@ -141,7 +142,7 @@
         send_notice(peers, &notice, out);
     }
 
-    /// Asks the owner of a target's trials for one.
+    /// Requests a trial from the owner of the target's trials.
     pub(super) fn ask_trial(
         &mut self,
         now: Timestamp,
@@ -164,7 +165,8 @@
         }
     }
 
-    /// A peer asks for a trial. Only the owner by this daemon's own view answers.
+    /// Answers a peer's request for a trial, if this daemon is the owner by its own view of the
+    /// membership.
     fn on_trial_asked(
         &mut self,
         now: Timestamp,
@@ -185,7 +187,7 @@
         self.send_quarantine(vec![from], report, out);
     }
 
-    /// Trials that this daemon, as their owner, has for itself.
+    /// Starts the trials that this daemon, as their owner, granted to itself.
     pub(super) fn take_own_trials(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let granted = std::mem::take(&mut self.own_trials);
         if granted.is_empty() {
@@ -203,7 +205,8 @@
         self.router_actions(now, actions, out);
     }
 
-    /// Ends the trials of what was cleared or proven.
+    /// Ends the trials of requests that are proven to crash upstreams or were cleared by
+    /// completing.
     fn end_trials(&mut self, news: &QuarantineNews) {
         let proven = news.quarantined.iter();
         let proven = proven.filter(|held| held.evidence == Evidence::Proven);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// What an answer to a peer holds.
+    /// The quarantined requests to include in a pull reply.
     pub(super) fn quarantine_report(&self, now: Timestamp) -> QuarantineReport {
         let quarantined = self.router.quarantined(now).take(MOST_TOLD);
         QuarantineReport {
@@ -223,7 +226,7 @@
         }
     }
 
-    /// It was looked whether an upstream is still there.
+    /// Handles the result of a check whether an upstream still exists.
     pub(super) fn on_upstream_checked(
         &mut self,
         now: Timestamp,
@@ -237,7 +240,7 @@
         self.router_actions(now, actions, out);
     }
 
-    /// Takes in what a peer told, with ages as of `told_at`.
+    /// Applies a peer's report, whose ages are relative to `told_at`.
     pub(super) fn learn_quarantine(
         &mut self,
         now: Timestamp,
@@ -252,7 +255,7 @@
         self.router_actions(now, actions, out);
     }
 
-    /// Takes in a peer's notice.
+    /// Handles the quarantine part of a peer's notice.
     pub(super) fn on_quarantine_told(
         &mut self,
         now: Timestamp,
--- a/shalehinge/src/core/daemon/relays.rs
+++ b/shalehinge/src/core/daemon/relays.rs
@@ -1,13 +1,13 @@
-//! How news of the platform reach the daemons that don't read it themselves.
+//! Distributes the platform's host list to daemons that don't read it themselves.
 //!
-//! The watchers of a failure domain read the platform, and so does whoever holds its
-//! control. The others ask each a daemon above them in a tree of bounded fan-out, which
-//! follows from the weights that also choose the watchers, so that nothing is agreed. An
-//! answer tells the changes since the asker's version, and how long ago the platform
-//! answered whoever they come from; ages add up on the way and are never taken for less.
+//! The watchers of a failure domain and its lease holder read the platform. Every other daemon
+//! pulls from its parent in a tree of bounded fan-out. The tree follows from the same rendezvous
+//! weights that select the watchers, so it needs no agreement. A reply carries the changes since
+//! the requester's version, and how long ago the platform answered the daemon that they come from.
+//! Ages accumulate along the path and are never underestimated.
 //!
-//! A daemon that hears nothing new in time asks others at random, and then the platform
-//! itself, those first that stand first in the order.
+//! A daemon that receives no fresh host list in time pulls from random peers, and then reads the
+//! platform itself. Fallback reads are staggered by the daemons' rank.
 
 use std::time::Duration;
 
@@ -19,29 +19,29 @@
 use crate::core::platform::Scope;
 use crate::core::types::{Address, Timestamp};
 
-/// Daemons that ask the same one. At four hundred milliseconds an interval some 20
-/// small questions a second, and two levels below two watchers reach 146 daemons.
+/// Number of daemons that pull from the same parent. At one pull per 400 ms each, a parent answers
+/// some 20 small pulls a second, and two levels below two watchers cover 146 daemons.
 const FANOUT: usize = 8;
-/// How long a daemon asks only peers on the fleet's first start. By then it is
-/// known who is there, so that few daemons read the platform; requests come later.
+/// How long a daemon reads only from peers when the fleet starts for the first time. By then the
+/// membership is known, so that few daemons read the platform; requests arrive later.
 const FIRST_START_READ_AFTER: Duration = Duration::from_secs(1);
-/// How long a daemon that starts again asks only peers. A peer that lives answers
-/// by then; where all daemons start again, requests wait for each to know something.
+/// How long a restarted daemon reads only from peers. A live peer answers within this time. It is
+/// short because requests wait meanwhile if all daemons restart at once.
 const RESTART_READ_AFTER: Duration = Duration::from_millis(200);
-/// Time between two questions of a daemon that knows nothing yet.
+/// Interval between two pulls of a daemon that doesn't know the objects it needs to serve.
 const START_INTERVAL: Duration = Duration::from_millis(150);
-/// How much later than the one before it a daemon reads the platform itself. The
-/// first few to get through tell the rest.
+/// Additional delay per rank before a daemon reads the platform as a fallback. The first few
+/// daemons that succeed pass the host list on to the others.
 const FALLBACK_STEP: Duration = Duration::from_millis(30);
-/// How much later at the most.
+/// Upper bound of the delay by rank.
 const FALLBACK_SPREAD: Duration = Duration::from_secs(2);
-/// Intervals without an answer of the platform after which others are asked than the one
-/// above. Readers hear of it each interval and the wait of a watch, which is some one and
-/// a half, and each level of the tree adds one.
+/// Age of the host list, in relay intervals, beyond which a daemon no longer relies on its parent.
+/// A reader hears from the platform once per interval plus the wait of a watch, which is about one
+/// and a half intervals, and each level of the tree adds one interval.
 const PATIENCE_INTERVALS: u32 = 6;
 
 impl Daemon {
-    /// Asks a peer for what changed, if it is time.
+    /// Pulls changes from a peer if a pull is due.
     pub(super) fn pull_from_relay(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let settings = self.settings.learning;
         let is_due = settings.relays && !self.has_stopped && now >= self.next_relay_at;
@@ -61,7 +61,8 @@
         out.push(Action::Pull { to, pull });
     }
 
-    /// Whether this daemon can serve with what it knows.
+    /// Whether this daemon knows the objects that it needs to serve: a configuration and a host
+    /// list.
     fn knows_objects(&self) -> bool {
         self.state.fleet().is_some() && self.state.hosts().is_some()
     }
@@ -70,13 +71,14 @@
         self.settings.learning.relay_interval * PATIENCE_INTERVALS
     }
 
-    /// Whether the platform answers what this daemon asks of the host list.
+    /// Whether the platform has recently answered this daemon's own host feed.
     fn is_reading(&self, now: Timestamp) -> bool {
         let heard_at = self.host_feed_heard_at();
         heard_at.is_some_and(|at| now.since(at) < self.patience())
     }
 
-    /// The daemon above this one; any other, while that one has nothing new.
+    /// The peer to pull from: the parent in the tree while the host list is fresh, else a random
+    /// choice among the watchers and another peer.
     fn relay_target(&mut self, now: Timestamp) -> Option<Address> {
         let heard_at = self.host_list_heard_at();
         let is_fresh = heard_at.is_some_and(|at| now.since(at) < self.patience());
@@ -93,7 +95,7 @@
         targets.choose(&mut self.rng).copied()
     }
 
-    /// The daemon above this one in the tree; none above a watcher.
+    /// The parent of this daemon in the tree, or `None` for a watcher.
     fn daemon_above(&self, now: Timestamp) -> Option<Address> {
         let ranked = self.membership.ranked(now, WATCH_DUTY);
         let me = &self.identity.daemon;
@@ -103,7 +105,7 @@
         self.membership.address_of(now, above)
     }
 
-    /// Whether this daemon reads the host list from the platform.
+    /// Whether this daemon should read the host list from the platform.
     pub(super) fn reads_hosts(&self, now: Timestamp) -> bool {
         if !self.settings.learning.relays || self.was_holder {
             return true;
@@ -114,7 +116,8 @@
         self.is_watcher(now) || self.is_cut_off_from_news(now)
     }
 
-    /// Whether peers had their time to tell what they know to a daemon that just started.
+    /// Whether this daemon may read the platform: after a start, peers get some time to answer
+    /// first, unless there are no seeds to ask.
     pub(super) fn may_read(&self, now: Timestamp) -> bool {
         let read_after = if self.identity.is_first_start {
             FIRST_START_READ_AFTER
@@ -125,12 +128,12 @@
         !self.settings.learning.relays || !is_new || !self.membership.has_seeds()
     }
 
-    /// Whether peers told nothing new of the host list for so long that this daemon reads
-    /// it itself.
+    /// Whether peers have provided no fresh host list for so long that this daemon must read it
+    /// from the platform.
     fn is_cut_off_from_news(&self, now: Timestamp) -> bool {
         let heard_at = self.hosts_told_at.unwrap_or(Timestamp::ZERO);
         let silent_for = now.since(heard_at);
-        // Asked each tick, and nearly always settled here: the ranks cost more.
+        // Checked on every tick and nearly always decided here, before the costlier ranking.
         if silent_for < self.patience() {
             return false;
         }
@@ -141,19 +144,19 @@
         silent_for >= self.patience() + step
     }
 
-    /// When the platform last answered whoever the host list in force comes from.
+    /// When the platform last answered the daemon that the host list in force comes from.
     pub fn host_list_heard_at(&self) -> Option<Timestamp> {
         self.host_feed_heard_at().max(self.hosts_told_at)
     }
 
-    /// When the platform last answered this daemon itself about hosts.
+    /// When the platform last answered this daemon's own host feed.
     fn host_feed_heard_at(&self) -> Option<Timestamp> {
         let feed = self.feeds.iter().find(|feed| feed.scope() == Scope::Hosts);
         feed.and_then(Feed::heard_at)
     }
 
-    /// Where the platform no longer answers this daemon, but others, what they tell counts.
-    /// The feed goes on asking, and lists anew once it is answered.
+    /// Switches to the host list of peers if the platform answers them but no longer this daemon.
+    /// The feed keeps calling, and lists again once it is answered.
     pub(super) fn prefer_news_of_peers(&mut self, now: Timestamp, index: usize) {
         let heard_at = self.feeds[index].heard_at();
         if !self.is_reading(now) && self.hosts_told_at > heard_at {
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Stops reading the host list: peers tell what routing needs of it.
+    /// Stops reading the host list from the platform; peers provide the part that routing needs.
     pub(super) fn stop_reading_hosts(&mut self, index: usize) {
         let is_idle = !self.feeds[index].is_active();
         if is_idle && self.state.whole_hosts().is_none() {
--- a/shalehinge/src/core/daemon/requests.rs
+++ b/shalehinge/src/core/daemon/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and what the router decides.
+//! Requests of callers, and the actions that the router decides on.
 
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
         self.tick_claims(now, out);
     }
 
-    /// Counts what arrives for a model, whatever becomes of it.
+    /// Counts a request for a model towards demand, whatever its outcome.
     fn record_demand(&mut self, now: Timestamp, meta: &RequestMeta) {
         let Target::Model(model) = &meta.target else {
             return;
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! Planned shutdown.
 
 use super::{Daemon, log};
 use crate::core::event::{Action, Part};
@@ -11,18 +11,27 @@
         }
         self.on_leave(now, out);
         self.is_stopping = true;
-        log(out, Part::Daemon, "stops when its requests are done".into());
+        log(
+            out,
+            Part::Daemon,
+            "stopping once open requests have ended".into(),
+        );
         self.finish_stop(out);
     }
 
-    /// No longer ready, and without duties; requests that still come are served.
+    /// Leaves the membership: the daemon is no longer ready and gives up its duties and its lease.
+    /// Requests that still arrive are served.
     pub(super) fn on_leave(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.is_leaving {
             return;
         }
         self.is_leaving = true;
         self.membership.leave();
-        log(out, Part::Daemon, "leaves; no longer ready".into());
+        log(
+            out,
+            Part::Daemon,
+            "leaving the fleet; no longer ready".into(),
+        );
         let operation = self.operation();
         if let Some(step) = self.lease.release(now, operation) {
             self.lease_step(step, out);
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -1,8 +1,9 @@
-//! Which era of the platform's store an answer is of, and what a new era ends.
+//! Tracks the era of the platform's store: which replies are valid in it, and what a new era
+//! resets.
 //!
-//! A store that is restored from a copy has lost its last writes and gives out their versions anew.
-//! So an answer of an earlier era is taken for none, and one that rests on versions of an earlier
-//! era than its own proves nothing of what came between.
+//! A store restored from a copy has lost its last writes and assigns their versions again. A reply
+//! of an earlier era is therefore treated as no reply, and a reply to a call that names versions of
+//! an earlier era proves nothing about the writes between the two.
 
 use std::time::Duration;
 
@@ -11,39 +12,47 @@
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::{StoreEra, Timestamp, Version};
 
-/// Heartbeats in which hosts write their entries again, or those of hosts that are gone lapse.
+/// Host heartbeats after which hosts known only from an earlier era are dropped: by then each live
+/// host has rewritten its entry.
 const REWRITE_HEARTBEATS: u32 = 4;
-/// A host list that was last true longer ago is no newer than the copy of a store, which is some
-/// seconds old.
+/// Maximum age of a host list of an earlier era that is kept after a restore. The copy that a store
+/// is restored from is some seconds old, so an older list is no newer than the copy.
 const LIST_OUTLASTS_COPY: Duration = Duration::from_secs(10);
 
-/// A call to the platform that is not answered yet.
+/// A platform call that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct OpenCall {
+    /// What the call was made for.
     pub(super) purpose: Purpose,
-    /// The era of the versions that the call names, if it names any.
+    /// The era of the versions named in the call, if it names any.
     pub(super) rests_on: Option<StoreEra>,
 }
 
-/// The era of the store that a daemon knows.
+/// What a daemon knows of the store's era.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EraState {
+    /// The newest era reported by the platform or a peer.
     era: Option<StoreEra>,
-    /// An answer of an earlier era came since the last change.
+    /// Whether a reply of an earlier era was ignored, and logged, since the last change of era.
     has_passed_over: bool,
-    /// Until when what an earlier era reported of hosts counts.
+    /// When hosts known only from an earlier era are dropped.
     hosts_until: Option<Timestamp>,
-    /// It changed since this daemon started.
+    /// Whether the era has changed since this daemon started.
     has_changed: bool,
 }
 
 impl Daemon {
-    /// The era of the platform's store, once it or a peer reported it.
+    /// The era of the platform's store, once the platform or a peer has reported it.
     pub fn store_era(&self) -> Option<StoreEra> {
         self.era.era
     }
 
-    /// What an answer is worth in the era that is known.
+    /// Converts a reply according to its era: a reply of an earlier era counts as none, and a reply
+    /// across eras proves only what does not depend on the versions named in the call.
+    ///
+    /// # Errors
+    ///
+    /// [`NoAnswer`] if there was no reply, or if the reply proves nothing in the known era.
     pub(super) fn place_in_era(
         &mut self,
         now: Timestamp,
@@ -66,15 +75,16 @@
             return Ok(reply);
         }
         match reply {
-            // What changed between the copy and that revision may be missing.
+            // Changes between the copy and the call's revision may be missing.
             PlatformReply::Objects { .. } => Ok(PlatformReply::HistoryGone(era)),
-            // The condition may have held for another value under the same number.
+            // The write's condition may have matched a different value with the same number.
             PlatformReply::Written(_) => Err(NoAnswer),
             reply => Ok(reply),
         }
     }
 
-    /// Whether nothing was ever written that an earlier era of the store could have lost.
+    /// Whether the store cannot have lost a write: the fleet starts for the first time and no era
+    /// has ended since.
     pub(super) fn is_in_first_era(&self) -> bool {
         self.identity.is_first_start && !self.era.has_changed
     }
@@ -84,11 +94,12 @@
             return;
         }
         let known = self.era.era.unwrap_or_default();
-        let text = format!("an answer of era {era} is passed over, the platform is in era {known}");
+        let text = format!("ignored a reply of era {era}: the platform is in era {known}");
         log(out, Part::Platform, text);
     }
 
-    /// The platform, or a peer, tells the era of the store, and perhaps how far that came.
+    /// Records the store's era as reported by the platform, with the revision reached in it, or by a
+    /// peer. A new era ends the lease, makes all feeds list again, and has claims written again.
     pub(super) fn note_era(
         &mut self,
         now: Timestamp,
@@ -113,11 +124,11 @@
         }
         let before = self.confirmation.map(|known| known.revision.number);
         let text = format!(
-            "restored from a copy: era {from} to {era}, revision {} to {}; lists anew{}",
+            "restored from a copy: era {from} to {era}, revision {} to {}; listing again{}",
             before.map_or("unknown".into(), |number| number.to_string()),
             revision.map_or("unknown".into(), |version| version.number.to_string()),
             if was_holder {
-                ", stops holding its failure domain"
+                ", control of the failure domain given up"
             } else {
                 ""
             },
@@ -126,7 +137,8 @@
         self.note_holder(now, out);
     }
 
-    /// What an earlier era reported of hosts counts for a while, unless it was old already.
+    /// Keeps hosts known from an earlier era for some heartbeats, unless the earlier host list was
+    /// already too old.
     pub(super) fn note_earlier_hosts(&mut self, now: Timestamp, heard_at: Option<Timestamp>) {
         if !self.state.has_earlier_hosts() {
             return;
@@ -147,7 +159,7 @@
         self.era.hosts_until = None;
         self.state.forget_earlier_hosts();
         self.rebuild_topology();
-        let text = "hosts are as the platform lists them now".to_owned();
+        let text = "dropped hosts of the earlier era; the platform's host list applies".to_owned();
         log(out, Part::Platform, text);
     }
 }
