--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -45,8 +45,8 @@
     ),
     "an-answer-of-an-earlier-era-is-none": (
         CORE + "daemon/store_era.rs",
-        "if Some(era) < self.era.era {",
-        "if Some(era) < self.era.era && era > StoreEra::LAST {",
+        "if Some(era) < self.era_state.current {",
+        "if Some(era) < self.era_state.current && era > StoreEra::LAST {",
         "store_era_answers", "earlier_era",
     ),
     "a-holder-stops-in-a-new-era": (
@@ -345,8 +345,8 @@
     ),
     "quarantine-is-told-again": (
         CORE + "daemon/quarantine.rs",
-        "quarantined: quarantined.map(|held| report_of(now, held)).collect(),\n            ..Q",
-        "quarantined: quarantined.map(|held| report_of(now, held)).take(0).collect(),\n            ..Q",
+        "quarantined: quarantined\n                .map(|entry| quarantined_report(now, entry))\n                .collect(),\n            ..Q",
+        "quarantined: quarantined.map(|entry| quarantined_report(now, entry)).take(0).collect(),\n            ..Q",
         "quarantine", "missed_the_news",
     ),
     "shown-in-a-group-is-not-used": (
@@ -408,14 +408,14 @@
     ),
     "a-start-confirms-nothing": (
         CORE + "daemon/configuration.rs",
-        "Some(Timestamp::ZERO + valid_for.saturating_sub(before_start))",
-        "Some(Timestamp::ZERO + valid_for.max(before_start))",
+        "Some(Timestamp::ZERO + valid_for.saturating_sub(age_at_start))",
+        "Some(Timestamp::ZERO + valid_for.max(age_at_start))",
         "superseded", "before_the_start",
     ),
     "age-counts-where-as-new": (
         CORE + "daemon/peers.rs",
-        "reply.confirmed_ms_ago.filter(|_| is_as_new)",
-        "reply.confirmed_ms_ago.filter(|_| is_as_new || true)",
+        "reply.confirmed_ms_ago.filter(|_| is_up_to_date)",
+        "reply.confirmed_ms_ago.filter(|_| is_up_to_date || true)",
         "superseded", "newer_configuration_confirms",
     ),
     "old-answer-of-a-lease": (
@@ -450,20 +450,20 @@
     ),
     "reads-when-peers-are-silent": (
         CORE + "daemon/relays.rs",
-        "self.is_watcher(now) || self.is_cut_off_from_news(now)",
+        "self.is_watcher(now) || self.has_relay_timed_out(now)",
         "self.is_watcher(now)",
         "relays", "death_of_all_watchers",
     ),
     "news-of-peers-where-turned-away": (
         CORE + "daemon/relays.rs",
-        "if !self.is_reading(now) && self.hosts_told_at > heard_at {",
-        "if false && self.hosts_told_at > heard_at {",
+        "if !self.is_own_host_feed_fresh(now) && self.peer_hosts_answered_at > answered_at {",
+        "if false && self.peer_hosts_answered_at > answered_at {",
         "relays", "turns_away",
     ),
     "ages-add-up": (
         CORE + "daemon/peers.rs",
-        "hosts_ms_ago: hosts_heard_at.map(|at| now.millis_since(at)),",
-        "hosts_ms_ago: hosts_heard_at.map(|_| 0),",
+        "hosts_ms_ago: hosts_answered_at.map(|at| now.millis_since(at)),",
+        "hosts_ms_ago: hosts_answered_at.map(|_| 0),",
         "relays", "never_too_new",
     ),
     "members-in-brief": (
@@ -555,7 +555,7 @@
     ),
     "stop-waits": (
         CORE + "daemon/stopping.rs",
-        "let is_done = self.router.pending() == 0 && self.claimed.is_empty();",
+        "let is_done = self.router.pending() == 0 && self.claimed_requests.is_empty();",
         "let is_done = true;",
         "always", "fixed",
     ),
@@ -591,7 +591,7 @@
     ),
     "suspects-told": (
         CORE + "daemon/mod.rs",
-        "self.tell_suspects(now, out);",
+        "self.report_suspects(now, out);",
         "",
         "focused", "lost_member",
     ),
--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -1,6 +1,6 @@
 //! Idempotency keys: claimed before a request runs, settled when its outcome is known.
 
-use super::{Daemon, Purpose, log, refusal_of};
+use super::{CallPurpose, Daemon, log, outcome_of_refused_claim};
 use crate::core::claims::{ClaimResult, ClaimStep};
 use crate::core::event::{Action, Part};
 use crate::core::objects::{ClaimPartition, Object, ObjectKey, Versioned};
@@ -12,7 +12,7 @@
     /// Records the outcome of a request in its claim, if it has one. An unknown outcome leaves the
     /// claim in place, so that the key is not used again.
     pub(super) fn settle_claim(&mut self, request: RequestId, outcome: &Outcome) {
-        let Some(claimed) = self.claimed.remove(&request) else {
+        let Some(claimed) = self.claimed_requests.remove(&request) else {
             return;
         };
         match outcome {
@@ -28,19 +28,19 @@
         let wall_seconds = self.identity.wall_seconds + now.as_duration().as_secs();
         let (steps, results) = self.claims.poll(now, wall_seconds);
         for step in steps {
-            self.claim_step(step, out);
+            self.run_claim_step(step, out);
         }
-        self.claim_results(now, results, out);
+        self.handle_claim_results(now, results, out);
     }
 
-    pub(super) fn claim_step(&mut self, step: ClaimStep, out: &mut Vec<Action>) {
+    pub(super) fn run_claim_step(&mut self, step: ClaimStep, out: &mut Vec<Action>) {
         match step {
             ClaimStep::Read(partition) => {
                 let request = PlatformCall::Get {
                     key: ObjectKey::Claims(partition),
                     freshness: Freshness::Exact,
                 };
-                self.call(Purpose::Claims(partition), request, out);
+                self.call_platform(CallPurpose::Claims(partition), request, out);
             }
             ClaimStep::Write {
                 partition,
@@ -52,7 +52,7 @@
                     expect,
                     object: Box::new(Object::Claims(value)),
                 };
-                self.call(Purpose::Claims(partition), request, out);
+                self.call_platform(CallPurpose::Claims(partition), request, out);
             }
         }
     }
@@ -69,11 +69,11 @@
                 self.claims.on_read(partition, (*object).into_claims())
             }
             Ok(PlatformReply::Missing(era)) => {
-                let nothing = Versioned {
+                let absent = Versioned {
                     version: Version::absent(era),
                     value: ClaimPartition::default(),
                 };
-                self.claims.on_read(partition, Some(nothing))
+                self.claims.on_read(partition, Some(absent))
             }
             Ok(PlatformReply::Written(version)) => self.claims.on_written(partition, version),
             Ok(
@@ -87,20 +87,20 @@
                 Vec::new()
             }
         };
-        self.claim_results(now, results, out);
+        self.handle_claim_results(now, results, out);
     }
 
-    pub(super) fn claim_results(
+    pub(super) fn handle_claim_results(
         &mut self,
         now: Timestamp,
         results: Vec<(RequestId, ClaimResult)>,
         out: &mut Vec<Action>,
     ) {
         for (request, result) in results {
-            let Some(claimed) = self.claimed.get_mut(&request) else {
+            let Some(claimed) = self.claimed_requests.get_mut(&request) else {
                 continue;
             };
-            let Some(meta) = claimed.waiting.take() else {
+            let Some(meta) = claimed.pending_meta.take() else {
                 continue;
             };
             if result == ClaimResult::Granted {
@@ -110,8 +110,8 @@
                 self.submit(now, request, meta, out);
                 continue;
             }
-            self.claimed.remove(&request);
-            let outcome = refusal_of(result);
+            self.claimed_requests.remove(&request);
+            let outcome = outcome_of_refused_claim(result);
             let text = format!("request {} not run, key not granted: {result:?}", request.0);
             log(out, Part::Claim, text);
             out.push(Action::Answer { request, outcome });
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Daemon, Purpose, RUMOUR_FANOUT, WATCH_DUTY, WATCH_PAUSE, log};
+use super::{CallPurpose, Daemon, NOTICE_FANOUT, WATCH_DUTY, WATCH_RETRY_DELAY, log};
 use crate::core::event::{Action, LimitsNotice, Notice, Part, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{Applied, ObjectUpdate};
@@ -18,16 +18,16 @@
 /// The interval between two host watches of a daemon. It grows with the number of daemons that
 /// read the host list, so that calls grow more slowly than the fleet, up to a maximum that keeps
 /// daemons from using a leaving host for too long.
-fn spacing_among(spacing: Duration, daemons: usize) -> Duration {
+fn host_watch_spacing(spacing: Duration, daemons: usize) -> Duration {
     /// Number of daemons up to which the configured spacing applies unchanged.
-    const FEW: f64 = 16.0;
-    const MOST: Duration = Duration::from_millis(1_200);
-    let stretched = spacing.mul_f64((daemons as f64 / FEW).max(1.0));
-    stretched.min(MOST.max(spacing))
+    const UNSTRETCHED_DAEMONS: f64 = 16.0;
+    const MAX_SPACING: Duration = Duration::from_millis(1_200);
+    let stretched = spacing.mul_f64((daemons as f64 / UNSTRETCHED_DAEMONS).max(1.0));
+    stretched.min(MAX_SPACING.max(spacing))
 }
 
 /// The confirmation of the higher revision, or the later of two for the same revision.
-pub(super) fn newer(
+pub(super) fn newer_confirmation(
     known: Option<Confirmation>,
     other: Option<Confirmation>,
 ) -> Option<Confirmation> {
@@ -38,23 +38,23 @@
 impl Daemon {
     /// Issues the next call of each feed: a list first, then watches if this daemon is one that
     /// watches the scope.
-    pub(super) fn learn(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn poll_feeds(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if self.has_stopped {
             return;
         }
         let settings = self.settings.learning;
         for index in 0..self.feeds.len() {
             let scope = self.feeds[index].scope();
-            if !self.reads(now, scope) {
+            if !self.should_read(now, scope) {
                 if scope == Scope::Hosts {
                     self.stop_reading_hosts(index);
                 }
                 continue;
             }
             if scope == Scope::Hosts && settings.relays {
-                self.prefer_news_of_peers(now, index);
+                self.prefer_peer_host_list(now, index);
             }
-            let watch = self.watch_of(now, scope);
+            let watch = self.watch_freshness(now, scope);
             let is_slow = scope == Scope::Hosts || watch == Some(Freshness::MayBeStale);
             let wait = if is_slow {
                 settings.host_wait
@@ -63,21 +63,21 @@
             };
             let call = self.feeds[index].next_call(now, watch, wait);
             if let Some(call) = call {
-                self.call(Purpose::Feed(index), call, out);
+                self.call_platform(CallPurpose::Feed(index), call, out);
             }
         }
     }
 
     /// Whether this daemon reads a scope from the platform now rather than from peers.
-    fn reads(&self, now: Timestamp, scope: Scope) -> bool {
+    fn should_read(&self, now: Timestamp, scope: Scope) -> bool {
         let settings = self.settings.learning;
         match scope {
             _ if !settings.relays => true,
-            Scope::Hosts => self.reads_hosts(now),
+            Scope::Hosts => self.should_read_hosts(now),
             Scope::Shared | Scope::Configuration => {
                 // At the start, peers have as much time to confirm as they do later.
                 let confirmed_at = self.confirmed_at().unwrap_or(Timestamp::ZERO);
-                let is_confirmed = now.since(confirmed_at) < self.asks_exactly_after(now);
+                let is_confirmed = now.since(confirmed_at) < self.exact_read_delay(now);
                 self.may_read(now) && !is_confirmed
             }
         }
@@ -86,9 +86,9 @@
     /// How long after the last confirmation of the configuration this daemon reads it from the
     /// platform itself, where peers relay: the first watcher at once, the other watchers after
     /// the first one has failed, and all other daemons last.
-    fn asks_exactly_after(&self, now: Timestamp) -> Duration {
+    fn exact_read_delay(&self, now: Timestamp) -> Duration {
         let settings = self.settings.learning;
-        if self.is_first_watcher(now) {
+        if self.is_primary_watcher(now) {
             Duration::ZERO
         } else if self.is_watcher(now) {
             (settings.confirm_after + settings.ask_after) / 2
@@ -99,20 +99,20 @@
 
     /// Whether this daemon is the one watcher of its failure domain that always confirms the
     /// configuration.
-    pub(super) fn is_first_watcher(&self, now: Timestamp) -> bool {
+    pub(super) fn is_primary_watcher(&self, now: Timestamp) -> bool {
         self.membership.is_responsible(now, WATCH_DUTY, 1)
     }
 
     /// The freshness with which this daemon watches a scope, or `None` if it doesn't watch it.
     /// The watchers of a failure domain require exact answers. With stale watches the other
     /// daemons watch too, and accept stale answers while a watcher confirms the configuration.
-    fn watch_of(&self, now: Timestamp, scope: Scope) -> Option<Freshness> {
+    fn watch_freshness(&self, now: Timestamp, scope: Scope) -> Option<Freshness> {
         let settings = self.settings.learning;
         if !settings.stale_watches {
             return self.is_watcher(now).then_some(Freshness::Exact);
         }
         let needs_exact = match scope {
-            Scope::Hosts => self.was_holder && !self.controller.trusts_absence(),
+            Scope::Hosts => self.is_lease_holder && !self.controller.trusts_absence(),
             Scope::Shared | Scope::Configuration => {
                 self.is_watcher(now) || !self.is_confirmed_within(now, settings.ask_after)
             }
@@ -135,7 +135,7 @@
             .is_some_and(|confirmed_at| now.since(confirmed_at) < within)
     }
 
-    pub(super) fn on_fed(
+    pub(super) fn on_feed_reply(
         &mut self,
         now: Timestamp,
         index: usize,
@@ -143,17 +143,17 @@
         out: &mut Vec<Action>,
     ) {
         let jitter = self.rng.random_range(0.0..1.0);
-        let pause = WATCH_PAUSE.mul_f64(1.0 + jitter);
+        let pause = WATCH_RETRY_DELAY.mul_f64(1.0 + jitter);
         let feed = &mut self.feeds[index];
         let scope = feed.scope();
-        self.confirmation = newer(self.confirmation, feed.confirmation(result));
+        self.confirmation = newer_confirmation(self.confirmation, feed.confirmation(result));
         let spacing = match scope {
             // The lease holder acts on host changes, so it watches three times as often.
-            Scope::Hosts if self.was_holder => self.settings.learning.host_spacing / 3,
+            Scope::Hosts if self.is_lease_holder => self.settings.learning.host_spacing / 3,
             Scope::Hosts if self.settings.learning.relays => self.settings.learning.host_spacing,
             Scope::Hosts => {
                 let daemons = self.membership.fleet_size(now);
-                spacing_among(self.settings.learning.host_spacing, daemons)
+                host_watch_spacing(self.settings.learning.host_spacing, daemons)
             }
             Scope::Shared | Scope::Configuration => Duration::ZERO,
         };
@@ -172,7 +172,7 @@
     /// configurations.
     fn rewrite_lost_fleet(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let writes = self.settings.learning.feeds == FeedLayout::Shared;
-        if !writes || !self.state.is_fleet_lost() || !self.is_first_watcher(now) {
+        if !writes || !self.state.is_fleet_lost() || !self.is_primary_watcher(now) {
             return;
         }
         let Some(fleet) = self.state.fleet() else {
@@ -186,7 +186,7 @@
         };
         let text = format!("platform lost Fleet version {version}; rewriting it");
         log(out, Part::Config, text);
-        self.call(Purpose::RewriteFleet, request, out);
+        self.call_platform(CallPurpose::RewriteFleet, request, out);
     }
 
     /// The latest time at which the configuration in force is known to have been the newest.
@@ -216,8 +216,8 @@
         if let Some(confirmed_at) = self.confirmed_at() {
             return Some(confirmed_at + valid_for);
         }
-        let before_start = self.confirmed_before_start.unwrap_or(valid_for);
-        Some(Timestamp::ZERO + valid_for.saturating_sub(before_start))
+        let age_at_start = self.confirmed_age_at_start.unwrap_or(valid_for);
+        Some(Timestamp::ZERO + valid_for.saturating_sub(age_at_start))
     }
 
     /// Whether a newer configuration has been known to exist for so long that requests must not
@@ -238,23 +238,23 @@
         out: &mut Vec<Action>,
     ) {
         let mut is_changed = false;
-        let mut is_news = false;
+        let mut needs_notice = false;
         for update in updates {
             let (key, version) = (update.key.clone(), update.version);
             let fleet_version = update.fleet_version();
-            let heard_at = self.host_list_heard_at();
-            let era_of_hosts = self.state.hosts_version().era;
+            let hosts_answered_at = self.host_list_answered_at();
+            let previous_hosts_era = self.state.hosts_version().era;
             let applied = self.state.apply(update);
-            if self.state.hosts_version().era != era_of_hosts {
-                self.note_earlier_hosts(now, heard_at);
+            if self.state.hosts_version().era != previous_hosts_era {
+                self.keep_earlier_hosts(now, hosts_answered_at);
             }
             if let Some(version) = fleet_version.filter(|_| applied == Applied::Nothing) {
-                self.note_passed_over(version, out);
+                self.log_ignored_version(version, out);
             }
             if applied == Applied::All {
                 is_changed = true;
                 // Daemons that relay the host list pull it at intervals and need no notice.
-                is_news |= key != ObjectKey::Hosts || !self.settings.learning.relays;
+                needs_notice |= key != ObjectKey::Hosts || !self.settings.learning.relays;
                 let text = format!("{key:?} version {version} is in force");
                 log(out, Part::Config, text);
             }
@@ -264,16 +264,16 @@
             self.rebuild_routes(now, out);
             self.rebuild_topology();
         }
-        if is_news {
+        if needs_notice {
             self.membership.set_fleet(self.state.fleet_version());
-            self.spread(now, out);
+            self.notify_random_peers(now, out);
         }
     }
 
     /// Logs, once per version, that a configuration older than the one in force was ignored.
-    fn note_passed_over(&mut self, version: FleetVersion, out: &mut Vec<Action>) {
+    fn log_ignored_version(&mut self, version: FleetVersion, out: &mut Vec<Action>) {
         let in_force = self.state.fleet_version();
-        if version == in_force || self.passed_over.replace(version) == Some(version) {
+        if version == in_force || self.last_ignored_version.replace(version) == Some(version) {
             return;
         }
         let text = format!("ignored Fleet version {version}: {in_force} is in force");
@@ -294,7 +294,7 @@
         let routes = &self.routes;
         self.router
             .recheck_keys(|key| routes.holder(key).is_some(), &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn rebuild_topology(&mut self) {
@@ -307,10 +307,10 @@
         self.router.set_topology(topology);
     }
 
-    pub(super) fn spread(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn notify_random_peers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let peers = self
             .membership
-            .some_peers(now, RUMOUR_FANOUT, &mut self.rng);
+            .some_peers(now, NOTICE_FANOUT, &mut self.rng);
         self.notify(peers, Vec::new(), out);
     }
 
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{CANDIDATES, Daemon, Purpose, WORK_INTERVAL, log};
+use super::{CallPurpose, DEMAND_INTERVAL, Daemon, LEASE_CANDIDATES, log};
 use crate::core::controller::{ControllerAction, Listing, Origin};
 use crate::core::event::{Action, Part, StatusPurpose};
 use crate::core::fleet_state::ObjectUpdate;
@@ -24,15 +24,17 @@
     pub(super) fn tick_lease(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let candidate = !self.is_leaving
             && self.may_read(now)
-            && self.membership.is_responsible(now, "lease", CANDIDATES);
-        let operation = self.operation();
+            && self
+                .membership
+                .is_responsible(now, "lease", LEASE_CANDIDATES);
+        let operation = self.new_operation_id();
         if let Some(step) = self.lease.step(now, candidate, operation) {
-            self.lease_step(step, out);
+            self.run_lease_step(step, out);
         }
-        self.note_holder(now, out);
+        self.update_lease_holder(now, out);
     }
 
-    pub(super) fn lease_step(&mut self, step: LeaseStep, out: &mut Vec<Action>) {
+    pub(super) fn run_lease_step(&mut self, step: LeaseStep, out: &mut Vec<Action>) {
         let key = self.lease_key();
         let request = match step {
             LeaseStep::Read(freshness) => PlatformCall::Get { key, freshness },
@@ -42,16 +44,16 @@
                 object: Box::new(Object::Lease(record)),
             },
         };
-        self.call(Purpose::Lease, request, out);
+        self.call_platform(CallPurpose::Lease, request, out);
     }
 
-    pub(super) fn note_holder(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn update_lease_holder(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let held = self.lease.held(now);
-        if held.is_some() == self.was_holder {
+        if held.is_some() == self.is_lease_holder {
             return;
         }
-        self.was_holder = held.is_some();
-        self.membership.set_control(self.was_holder);
+        self.is_lease_holder = held.is_some();
+        self.membership.set_control(self.is_lease_holder);
         let domain = &self.identity.failure_domain;
         let text = match held {
             Some(epoch) => format!("holds {domain} in epoch {}", epoch.0),
@@ -76,29 +78,29 @@
                 self.lease.on_unclear();
             }
         }
-        self.note_holder(now, out);
+        self.update_lease_holder(now, out);
     }
 
     pub(super) fn tick_controller(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let epoch = self.lease.held(now).filter(|_| !self.is_leaving);
-        let operation = self.operation();
-        self.tell_controller_work(now, out);
-        let listing = self.listing(now);
+        let operation = self.new_operation_id();
+        self.update_controller_demand(now, out);
+        let listing = self.controller_listing(now);
         let actions = self
             .controller
             .tick(now, epoch, &self.state, listing, operation);
         for action in actions {
-            self.controller_action(now, action, out);
+            self.handle_controller_action(now, action, out);
         }
     }
 
     /// Passes the fleet's demand to the controller of the lease holder, which forms groups in the
     /// order in which demand needs them.
-    fn tell_controller_work(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if !self.was_holder || now < self.next_work_at {
+    fn update_controller_demand(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if !self.is_lease_holder || now < self.next_demand_update_at {
             return;
         }
-        self.next_work_at = now + WORK_INTERVAL;
+        self.next_demand_update_at = now + DEMAND_INTERVAL;
         let daemons = self.membership.fleet_size(now);
         let work = self.demand.of_fleet(now, daemons);
         for text in self.controller.note_work(&self.state, &work) {
@@ -106,9 +108,9 @@
         }
     }
 
-    fn listing(&self, now: Timestamp) -> Listing {
+    fn controller_listing(&self, now: Timestamp) -> Listing {
         // Only the lease holder needs the number of failure domains.
-        let hosts = self.state.whole_hosts().filter(|_| self.was_holder);
+        let hosts = self.state.whole_hosts().filter(|_| self.is_lease_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
             .iter()
             .flat_map(|list| list.value.hosts.values())
@@ -117,12 +119,12 @@
         let is_early = now.as_duration() < self.settings.control.free_loads_within;
         Listing {
             as_of: self.hosts_as_of(),
-            loads_are_free: self.identity.is_first_start && is_early && !self.has_served,
+            loads_are_free: self.identity.is_first_start && is_early && !self.has_received_request,
             domains: domains.len(),
         }
     }
 
-    fn controller_action(
+    fn handle_controller_action(
         &mut self,
         now: Timestamp,
         action: ControllerAction,
@@ -134,7 +136,7 @@
                     key: self.assignment_key(),
                     freshness: Freshness::Exact,
                 };
-                self.call(Purpose::Assignment, request, out);
+                self.call_platform(CallPurpose::Assignment, request, out);
             }
             ControllerAction::Write { expect, value } => {
                 let request = PlatformCall::Put {
@@ -142,7 +144,7 @@
                     expect,
                     object: Box::new(Object::Assignment(value)),
                 };
-                self.call(Purpose::Assignment, request, out);
+                self.call_platform(CallPurpose::Assignment, request, out);
             }
             ControllerAction::Order {
                 host,
@@ -166,14 +168,14 @@
                 host: Some(rank_zero.host),
                 address: rank_zero.address,
             }),
-            ControllerAction::AskMoving => self.ask_moving(now, out),
+            ControllerAction::AskMoving => self.pull_last_outputs(now, out),
             ControllerAction::TellLost(number) => {
                 let failure_domain = self.identity.failure_domain.clone();
                 let replica = ReplicaId {
                     failure_domain,
                     number,
                 };
-                self.tell_lost(now, replica, out);
+                self.broadcast_lost_replica(now, replica, out);
             }
             ControllerAction::Log(text) => log(out, Part::Place, text),
         }
@@ -191,11 +193,11 @@
                 None => self.controller.on_unclear(),
             },
             Ok(PlatformReply::Missing(era)) => {
-                let nothing = Versioned {
+                let absent = Versioned {
                     version: Version::absent(era),
                     value: Assignment::default(),
                 };
-                self.on_assignment_read(now, nothing, out);
+                self.on_assignment_read(now, absent, out);
             }
             Ok(PlatformReply::Foreign(version)) => self.controller.on_foreign(version),
             Ok(PlatformReply::Written(version)) => {
@@ -226,9 +228,9 @@
         let is_first = stored.version.is_absent() && self.is_in_first_era();
         let is_copied = stored.value.epoch.is_before(era) && !is_first;
         let known = self.state.assignments().get(&self.identity.failure_domain);
-        let newer = known
+        let newer_known = known
             .filter(|known| is_copied && known.assignment_version() > stored.assignment_version());
-        let value = newer.map_or(stored.value, |known| known.value.clone());
+        let value = newer_known.map_or(stored.value, |known| known.value.clone());
         self.lease.note_epoch(value.epoch);
         let stored = Versioned {
             version: stored.version,
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -18,7 +18,7 @@
     }
 
     /// Reports a limit that an upstream named in a response to the owner of the limit.
-    pub(super) fn tell_limit(
+    pub(super) fn report_limit(
         &mut self,
         now: Timestamp,
         report: LimitReport,
@@ -32,7 +32,7 @@
         self.send_limits(vec![owner], limits, out);
     }
 
-    pub(super) fn ask_permits(
+    pub(super) fn request_permits(
         &mut self,
         now: Timestamp,
         request: PermitRequest,
@@ -53,7 +53,7 @@
         }
     }
 
-    fn on_permits_asked(
+    fn on_permit_request(
         &mut self,
         now: Timestamp,
         from: Address,
@@ -83,7 +83,7 @@
     /// began or ended.
     pub(super) fn tick_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         self.grant_permits(now, out);
-        self.tell_limits_in_force(now, out);
+        self.broadcast_limit_changes(now, out);
     }
 
     fn grant_permits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
@@ -101,7 +101,7 @@
         }
     }
 
-    fn tell_limits_in_force(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    fn broadcast_limit_changes(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let in_force = self.permits.news(now);
         if in_force.is_empty() {
             return;
@@ -116,7 +116,7 @@
     }
 
     /// Sends a limits notice to daemons. If this daemon is among them, its copy is queued for
-    /// [`Self::take_own_limits`].
+    /// [`Self::process_own_limit_notices`].
     fn send_limits(&mut self, to: Vec<Address>, limits: LimitsNotice, out: &mut Vec<Action>) {
         let me = self.identity.address;
         let notice = Notice {
@@ -126,22 +126,22 @@
         let peers = to.iter().copied().filter(|address| *address != me);
         send_notice(peers.collect(), &notice, out);
         if to.contains(&me) {
-            self.own_limits.push(notice.limits);
+            self.own_limit_notices.push(notice.limits);
         }
     }
 
     /// Processes the limit notices that this daemon addressed to itself.
-    pub(super) fn take_own_limits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn process_own_limit_notices(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let me = self.identity.address;
-        for limits in std::mem::take(&mut self.own_limits) {
-            self.on_limits_told(now, me, limits, out);
+        for limits in std::mem::take(&mut self.own_limit_notices) {
+            self.on_limits_notice(now, me, limits, out);
         }
     }
 
     /// Processes a limits notice of a peer. Reports and permit requests are accepted only if this
     /// daemon is the owner by its own view of the membership: otherwise two daemons could grant
     /// permits of one limit while peers see different members.
-    pub(super) fn on_limits_told(
+    pub(super) fn on_limits_notice(
         &mut self,
         now: Timestamp,
         from: Address,
@@ -155,10 +155,10 @@
         }
         for request in limits.asked {
             if self.owner_of(now, &request.known) == Owner::Me {
-                self.on_permits_asked(now, from, &request, out);
+                self.on_permit_request(now, from, &request, out);
             }
         }
-        self.tell_limits_in_force(now, out);
+        self.broadcast_limit_changes(now, out);
         let mut actions = Vec::new();
         for report in &limits.in_force {
             self.router
@@ -168,6 +168,6 @@
             self.router
                 .on_permits(now, grant, &mut self.rng, &mut actions);
         }
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 }
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -66,28 +66,28 @@
 /// Interval at which the caller must deliver [`Event::Tick`].
 pub const TICK: Duration = Duration::from_millis(50);
 /// Number of daemons per failure domain that try to acquire its control lease.
-const CANDIDATES: usize = 3;
+const LEASE_CANDIDATES: usize = 3;
 /// Membership duty of reading the platform with [`Freshness::Exact`].
 ///
 /// [`Freshness::Exact`]: crate::core::platform::Freshness::Exact
 const WATCH_DUTY: &str = "watch";
 /// Minimum time between two pulls that ask a watcher to confirm the configuration.
-const CONFIRM_SPACING: Duration = Duration::from_millis(400);
+const CONFIRM_PULL_INTERVAL: Duration = Duration::from_millis(400);
 /// Minimum time between two reports of replicas that may have lost a member.
-const SUSPECTS_INTERVAL: Duration = Duration::from_millis(500);
+const SUSPECT_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum age of a replica's last output that is reported as a sign of progress. The controller
 /// decides on a loss within 400 ms, so older outputs prove nothing.
-const MOVING_WITHIN: Duration = Duration::from_millis(500);
+const LAST_OUTPUT_MAX_AGE: Duration = Duration::from_millis(500);
 /// Number of peers asked for the last output of a replica. With 90 daemons, one in five runs a
 /// request on a given replica, so at least one of 12 does in nine cases out of ten.
-const MOVING_WITNESSES: usize = 12;
+const LAST_OUTPUT_PEERS: usize = 12;
 /// Interval at which the lease holder recomputes the demand on the fleet.
-const WORK_INTERVAL: Duration = Duration::from_secs(1);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of peers notified at once when an object changes.
-const RUMOUR_FANOUT: usize = 3;
+const NOTICE_FANOUT: usize = 3;
 /// Minimum delay before a failed watch is retried. Random jitter of up to the same length is
 /// added.
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The identity of a daemon, constant while it runs.
 #[derive(Clone, Debug, PartialEq)]
@@ -111,7 +111,7 @@
 
 /// What a platform call was made for; decides where its reply goes.
 #[derive(Clone, Debug)]
-enum Purpose {
+enum CallPurpose {
     /// The feed at this index lists or watches its scope.
     Feed(usize),
     /// Reads or writes the control lease.
@@ -128,11 +128,11 @@
 
 /// A request with an idempotency key, from its claim to its outcome.
 #[derive(Clone, Debug)]
-struct Claimed {
+struct ClaimedRequest {
     key: KeyHash,
     claimant: OperationId,
     /// The request's metadata, until the claim is granted.
-    waiting: Option<RequestMeta>,
+    pending_meta: Option<RequestMeta>,
 }
 
 /// The state and decision logic of one daemon.
@@ -151,37 +151,37 @@
     /// The trials that this daemon owns and grants.
     trials: TrialOwner,
     /// Trials that this daemon granted to itself and has not started yet.
-    own_trials: Vec<TrialGrant>,
+    own_trial_grants: Vec<TrialGrant>,
     /// Limit notices that this daemon addressed to itself and has not processed yet.
-    own_limits: Vec<LimitsNotice>,
+    own_limit_notices: Vec<LimitsNotice>,
     operators: Operators,
     router: Router,
     demand: Demand,
-    next_work_at: Timestamp,
+    next_demand_update_at: Timestamp,
     calls: BTreeMap<CallId, OpenCall>,
-    era: EraState,
+    era_state: EraState,
     next_call: u64,
-    claimed: BTreeMap<RequestId, Claimed>,
+    claimed_requests: BTreeMap<RequestId, ClaimedRequest>,
     feeds: Vec<Feed>,
     routes: RouteTable,
     confirmed_by_peer: Option<Timestamp>,
     /// The newest known revision of the platform, and when it was confirmed.
     confirmation: Option<Confirmation>,
     /// The last configuration version that was ignored because a newer one is in force.
-    passed_over: Option<FleetVersion>,
-    next_confirm_at: Timestamp,
-    next_relay_at: Timestamp,
+    last_ignored_version: Option<FleetVersion>,
+    next_confirm_pull_at: Timestamp,
+    next_relay_pull_at: Timestamp,
     /// When the platform last answered the daemons that the peers' host list comes from.
-    hosts_told_at: Option<Timestamp>,
+    peer_hosts_answered_at: Option<Timestamp>,
     whole_fetch: WholeFetch,
     superseded: Superseded,
     /// Age, at the start of this daemon, of the platform's last confirmation of the
     /// configuration, as reported by peers. Used until the configuration is confirmed again.
-    confirmed_before_start: Option<Duration>,
-    next_suspects_at: Timestamp,
-    was_holder: bool,
+    confirmed_age_at_start: Option<Duration>,
+    next_suspect_report_at: Timestamp,
+    is_lease_holder: bool,
     /// Whether a request has arrived since the start.
-    has_served: bool,
+    has_received_request: bool,
     is_leaving: bool,
     is_stopping: bool,
     has_stopped: bool,
@@ -220,33 +220,33 @@
             claims: ClaimBook::new(settings.claims),
             permits: PermitOwner::default(),
             trials: TrialOwner::default(),
-            own_trials: Vec::new(),
-            own_limits: Vec::new(),
+            own_trial_grants: Vec::new(),
+            own_limit_notices: Vec::new(),
             operators: Operators::default(),
             router: Router::new(settings.router, identity.incarnation),
             demand: Demand::default(),
-            next_work_at: Timestamp::ZERO,
+            next_demand_update_at: Timestamp::ZERO,
             calls: BTreeMap::new(),
-            era: EraState::default(),
+            era_state: EraState::default(),
             next_call: 1,
-            claimed: BTreeMap::new(),
-            feeds: scopes(settings.learning.feeds)
+            claimed_requests: BTreeMap::new(),
+            feeds: scopes_of_layout(settings.learning.feeds)
                 .iter()
                 .map(|scope| first_feed(*scope, settings.learning))
                 .collect(),
             routes: RouteTable::default(),
             confirmed_by_peer: None,
             confirmation: None,
-            passed_over: None,
-            next_confirm_at: Timestamp::ZERO,
-            next_relay_at: Timestamp::ZERO,
-            hosts_told_at: None,
+            last_ignored_version: None,
+            next_confirm_pull_at: Timestamp::ZERO,
+            next_relay_pull_at: Timestamp::ZERO,
+            peer_hosts_answered_at: None,
             whole_fetch: WholeFetch::default(),
             superseded: Superseded::default(),
-            confirmed_before_start: None,
-            next_suspects_at: Timestamp::ZERO,
-            was_holder: false,
-            has_served: false,
+            confirmed_age_at_start: None,
+            next_suspect_report_at: Timestamp::ZERO,
+            is_lease_holder: false,
+            has_received_request: false,
             is_leaving: false,
             is_stopping: false,
             has_stopped: false,
@@ -332,14 +332,14 @@
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
-            Event::Platform { call, result } => self.on_platform(now, call, result, out),
-            Event::PullAsked { pull_id, pull } => self.on_pull_asked(now, pull_id, pull, out),
+            Event::Platform { call, result } => self.on_platform_reply(now, call, result, out),
+            Event::PullAsked { pull_id, pull } => self.on_pull_request(now, pull_id, pull, out),
             Event::PullAnswered {
                 topic,
                 asked_at,
                 reply,
-            } => self.on_pull_answered(now, topic, asked_at, reply, out),
-            Event::Noticed(notice) => self.on_noticed(now, notice, out),
+            } => self.on_pull_reply(now, topic, asked_at, reply, out),
+            Event::Noticed(notice) => self.on_notice(now, notice, out),
             Event::Status {
                 purpose,
                 asked_at,
@@ -393,25 +393,25 @@
     }
 
     fn tick(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        self.learn(now, out);
-        self.pull(now, out);
-        self.ask_watcher(now, out);
+        self.poll_feeds(now, out);
+        self.send_gossip_pull(now, out);
+        self.pull_confirmation(now, out);
         self.pull_from_relay(now, out);
         self.fetch_whole_objects(now, out);
-        self.tick_earlier_hosts(now, out);
+        self.expire_earlier_hosts(now, out);
         self.tick_lease(now, out);
         self.tick_controller(now, out);
         self.tick_claims(now, out);
         self.tick_router(now, out);
-        self.tell_suspects(now, out);
-        self.tell_quarantine(now, out);
+        self.report_suspects(now, out);
+        self.send_quarantine_news(now, out);
         self.tick_limits(now, out);
         self.finish_stop(out);
     }
 }
 
 /// The scopes that the feeds of a layout cover, one feed each.
-fn scopes(layout: FeedLayout) -> &'static [Scope] {
+fn scopes_of_layout(layout: FeedLayout) -> &'static [Scope] {
     match layout {
         FeedLayout::Shared => &[Scope::Shared],
         FeedLayout::Split => &[Scope::Configuration, Scope::Hosts],
@@ -439,7 +439,7 @@
     }
 }
 
-fn refusal_of(result: ClaimResult) -> Outcome {
+fn outcome_of_refused_claim(result: ClaimResult) -> Outcome {
     let reason = match result {
         ClaimResult::Completed | ClaimResult::InProgressOrUnknown => {
             return Outcome::Unknown {
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -1,6 +1,6 @@
 //! Plan and confirm calls of operators.
 
-use super::{Daemon, Purpose, log};
+use super::{CallPurpose, Daemon, log};
 use crate::core::event::{Action, Part};
 use crate::core::operator::{OperatorCall, OperatorCallId, OperatorStep};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
@@ -25,10 +25,10 @@
         };
         log(out, Part::Operator, what);
         let step = self.operators.begin(now, id, call);
-        self.operator_step(now, id, Some(step), Err(NoAnswer), out);
+        self.handle_operator_step(now, id, Some(step), Err(NoAnswer), out);
     }
 
-    pub(super) fn operator_step(
+    pub(super) fn handle_operator_step(
         &mut self,
         now: Timestamp,
         id: OperatorCallId,
@@ -38,7 +38,7 @@
     ) {
         match step {
             Some(OperatorStep::Platform(request)) => {
-                self.call(Purpose::Operator(id), request, out);
+                self.call_platform(CallPurpose::Operator(id), request, out);
             }
             Some(OperatorStep::Answer(answer)) => {
                 // Reads the written change back at once, so that it is in force here without delay.
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -5,10 +5,10 @@
 
 use rand::seq::IndexedRandom;
 
-use super::configuration::newer;
+use super::configuration::newer_confirmation;
 use super::{
-    CANDIDATES, CONFIRM_SPACING, Daemon, MOVING_WITHIN, MOVING_WITNESSES, SUSPECTS_INTERVAL,
-    WATCH_DUTY,
+    CONFIRM_PULL_INTERVAL, Daemon, LAST_OUTPUT_MAX_AGE, LAST_OUTPUT_PEERS, LEASE_CANDIDATES,
+    SUSPECT_REPORT_INTERVAL, WATCH_DUTY,
 };
 use crate::core::demand::WorkReport;
 use crate::core::event::{
@@ -23,72 +23,77 @@
 
 /// The time `millis` milliseconds before `at`, or `None` if that is not after the start of this
 /// daemon.
-fn before(at: Timestamp, millis: u64) -> Option<Timestamp> {
+fn time_before(at: Timestamp, millis: u64) -> Option<Timestamp> {
     let age = Duration::from_millis(millis);
     (age < at.as_duration()).then(|| at.minus(age))
 }
 
 impl Daemon {
-    pub(super) fn pull(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn send_gossip_pull(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if let Some(to) = self.membership.pull_target(now, &mut self.rng) {
-            let pull = self.make_pull(now);
+            let pull = self.full_pull(now);
             out.push(Action::Pull { to, pull });
         }
     }
 
     /// Pulls from a watcher of the own failure domain when the configuration has not been confirmed
     /// for `confirm_after`.
-    pub(super) fn ask_watcher(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn pull_confirmation(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let settings = self.settings.learning;
         let is_due = settings.stale_watches
             && !self.has_stopped
-            && now >= self.next_confirm_at
+            && now >= self.next_confirm_pull_at
             && !self.is_confirmed_within(now, settings.confirm_after)
-            && !self.asks_alone(now);
+            && !self.is_sole_confirmer(now);
         if !is_due {
             return;
         }
-        self.next_confirm_at = now + CONFIRM_SPACING;
+        self.next_confirm_pull_at = now + CONFIRM_PULL_INTERVAL;
         let domain = &self.identity.failure_domain;
         let count = settings.watchers;
         let watchers = self
             .membership
             .responsible_addresses(now, domain, WATCH_DUTY, count);
         if let Some(to) = watchers.choose(&mut self.rng).copied() {
-            let pull = self.make_pull(now);
+            let pull = self.full_pull(now);
             out.push(Action::Pull { to, pull });
         }
     }
 
     /// Whether no other daemon is expected to confirm the configuration to this one.
-    fn asks_alone(&self, now: Timestamp) -> bool {
+    fn is_sole_confirmer(&self, now: Timestamp) -> bool {
         if self.settings.learning.relays {
-            self.is_first_watcher(now)
+            self.is_primary_watcher(now)
         } else {
             self.is_watcher(now)
         }
     }
 
-    pub(super) fn make_pull(&mut self, now: Timestamp) -> Pull {
-        self.pull_of(now, PullTopic::All)
+    pub(super) fn full_pull(&mut self, now: Timestamp) -> Pull {
+        self.pull_for_topic(now, PullTopic::All)
     }
 
-    pub(super) fn pull_of(&mut self, now: Timestamp, topic: PullTopic) -> Pull {
+    pub(super) fn pull_for_topic(&mut self, now: Timestamp, topic: PullTopic) -> Pull {
         let mut digest = self.state.digest();
-        if self.knows_hosts(now) {
+        if self.reads_fresh_hosts(now) {
             // Keeps peers from sending the host list, which this daemon reads itself.
             digest.hosts = Version::MAX;
         }
         Pull {
-            gossip: self.gossip_about(now, topic, None),
+            gossip: self.gossip_for_topic(now, topic, None),
             topic,
             digest,
             suspects: Vec::new(),
-            work: self.work_about(now, topic),
+            work: self.work_reports_for_topic(now, topic),
         }
     }
 
-    fn gossip_about(&mut self, now: Timestamp, topic: PullTopic, asked: Option<&Gossip>) -> Gossip {
+    fn gossip_for_topic(
+        &mut self,
+        now: Timestamp,
+        topic: PullTopic,
+        asked: Option<&Gossip>,
+    ) -> Gossip {
         match topic {
             PullTopic::All => self.membership.gossip(now, asked, &mut self.rng),
             PullTopic::Objects | PullTopic::Moving | PullTopic::WholeObjects => {
@@ -98,7 +103,7 @@
     }
 
     /// Reports of demand; only in pulls of all topics, as the other messages are kept small.
-    fn work_about(&mut self, now: Timestamp, topic: PullTopic) -> Vec<WorkReport> {
+    fn work_reports_for_topic(&mut self, now: Timestamp, topic: PullTopic) -> Vec<WorkReport> {
         match topic {
             PullTopic::All => self
                 .demand
@@ -107,31 +112,31 @@
         }
     }
 
-    fn note_work(&mut self, now: Timestamp, reports: Vec<WorkReport>) {
+    fn merge_work_reports(&mut self, now: Timestamp, reports: Vec<WorkReport>) {
         self.demand.merge(now, &self.identity.daemon, reports);
     }
 
     /// Whether this daemon reads the host list from the platform by a feed of its own.
-    fn knows_hosts(&self, now: Timestamp) -> bool {
+    fn reads_fresh_hosts(&self, now: Timestamp) -> bool {
         const FRESH: Duration = Duration::from_secs(2);
         self.feeds
             .iter()
             .filter(|feed| feed.scope() == Scope::Hosts)
             .filter_map(Feed::heard_at)
-            .any(|heard_at| now.since(heard_at) < FRESH)
+            .any(|answered_at| now.since(answered_at) < FRESH)
     }
 
     /// Reports replicas that may have lost a member to the daemons that may hold the lease of
     /// their failure domain.
-    pub(super) fn tell_suspects(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if now < self.next_suspects_at {
+    pub(super) fn report_suspects(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if now < self.next_suspect_report_at {
             return;
         }
         let suspects = self.router.suspects(now);
         if suspects.is_empty() {
             return;
         }
-        self.next_suspects_at = now + SUSPECTS_INTERVAL;
+        self.next_suspect_report_at = now + SUSPECT_REPORT_INTERVAL;
         let domains: BTreeSet<&FailureDomain> = suspects
             .iter()
             .map(|replica| &replica.failure_domain)
@@ -139,40 +144,45 @@
         for domain in domains {
             // The lease holder need not be a candidate any more.
             let membership = &self.membership;
-            let mut told: BTreeSet<Address> = membership
+            let mut recipients: BTreeSet<Address> = membership
                 .holder_addresses(now, domain)
                 .into_iter()
                 .collect();
-            told.extend(membership.responsible_addresses(now, domain, "lease", CANDIDATES));
-            for to in told {
-                let mut pull = self.make_pull(now);
+            recipients.extend(membership.responsible_addresses(
+                now,
+                domain,
+                "lease",
+                LEASE_CANDIDATES,
+            ));
+            for to in recipients {
+                let mut pull = self.full_pull(now);
                 pull.suspects.clone_from(&suspects);
                 out.push(Action::Pull { to, pull });
             }
         }
-        self.note_suspects(now, &suspects);
+        self.record_suspects(now, &suspects);
     }
 
-    pub(super) fn note_suspects(&mut self, now: Timestamp, suspects: &[ReplicaId]) {
-        let own = suspects
+    pub(super) fn record_suspects(&mut self, now: Timestamp, suspects: &[ReplicaId]) {
+        let own_suspects = suspects
             .iter()
             .filter(|replica| replica.failure_domain == self.identity.failure_domain);
-        for replica in own {
+        for replica in own_suspects {
             self.controller.suspect(now, replica.number);
         }
     }
 
     /// Asks some peers which replicas of this failure domain have recently sent them output: a
     /// member that this daemon can't reach may be cut off from this daemon alone.
-    pub(super) fn ask_moving(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn pull_last_outputs(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let domain = self.identity.failure_domain.clone();
-        let own = self.last_outputs(now, &domain);
-        self.note_moving(now, own);
+        let own_outputs = self.last_outputs(now, &domain);
+        self.record_last_outputs(now, own_outputs);
         let peers = self
             .membership
-            .some_peers(now, MOVING_WITNESSES, &mut self.rng);
+            .some_peers(now, LAST_OUTPUT_PEERS, &mut self.rng);
         for to in peers {
-            let pull = self.pull_of(now, PullTopic::Moving);
+            let pull = self.pull_for_topic(now, PullTopic::Moving);
             out.push(Action::Pull { to, pull });
         }
     }
@@ -182,7 +192,7 @@
         let outputs = self.router.last_outputs();
         outputs
             .filter(|(replica, at)| {
-                replica.failure_domain == *domain && now.since(*at) < MOVING_WITHIN
+                replica.failure_domain == *domain && now.since(*at) < LAST_OUTPUT_MAX_AGE
             })
             .map(|(replica, at)| LastOutput {
                 replica: replica.clone(),
@@ -194,42 +204,42 @@
     /// Passes on to the controller when replicas of this failure domain last sent a daemon output.
     /// Ages count from `asked_at`, when the daemon was asked, so that no output seems newer than
     /// it is.
-    fn note_moving(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
+    fn record_last_outputs(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
         for LastOutput { replica, ms_ago } in moving {
-            if let Some(at) = before(asked_at, ms_ago) {
+            if let Some(at) = time_before(asked_at, ms_ago) {
                 self.controller.note_moving(at, replica.number);
             }
         }
     }
 
-    pub(super) fn on_pull_asked(
+    pub(super) fn on_pull_request(
         &mut self,
         now: Timestamp,
         pull_id: PullId,
         pull: Pull,
         out: &mut Vec<Action>,
     ) {
-        let gossip = self.gossip_about(now, pull.topic, Some(&pull.gossip));
+        let gossip = self.gossip_for_topic(now, pull.topic, Some(&pull.gossip));
         let moving = match pull.topic {
             PullTopic::Moving => self.last_outputs(now, &pull.gossip.sender.failure_domain),
             PullTopic::All | PullTopic::Objects | PullTopic::WholeObjects => Vec::new(),
         };
-        let tells_hosts = pull.topic != PullTopic::Moving;
-        let hosts_heard_at = self.host_list_heard_at().filter(|_| tells_hosts);
-        self.note_work(now, pull.work);
+        let includes_hosts = pull.topic != PullTopic::Moving;
+        let hosts_answered_at = self.host_list_answered_at().filter(|_| includes_hosts);
+        self.merge_work_reports(now, pull.work);
         self.membership.merge(now, pull.gossip);
-        self.note_suspects(now, &pull.suspects);
+        self.record_suspects(now, &pull.suspects);
         let reply = PullReply {
             gossip,
             digest: self.state.digest(),
             updates: self.updates_for(pull.topic, &pull.digest),
             confirmed_ms_ago: self.confirmed_at().map(|at| now.millis_since(at)),
-            hosts_ms_ago: hosts_heard_at.map(|at| now.millis_since(at)),
+            hosts_ms_ago: hosts_answered_at.map(|at| now.millis_since(at)),
             reached: self.confirmation.map(|confirmation| Reached {
                 revision: confirmation.revision,
                 ms_ago: now.millis_since(confirmation.at),
             }),
-            work: self.work_about(now, pull.topic),
+            work: self.work_reports_for_topic(now, pull.topic),
             moving,
             quarantine: match pull.topic {
                 PullTopic::All => self.quarantine_report(now),
@@ -260,30 +270,30 @@
 
     /// Records that a peer knew the configuration in force to be the newest, `age` before it was
     /// asked.
-    fn note_confirmed(&mut self, asked_at: Timestamp, age: Duration) {
+    fn record_peer_confirmation(&mut self, asked_at: Timestamp, age: Duration) {
         match age.checked_sub(asked_at.as_duration()) {
             None => {
                 let confirmed_at = Some(asked_at.minus(age));
                 self.confirmed_by_peer = self.confirmed_by_peer.max(confirmed_at);
             }
-            Some(before_start) => {
-                let known = self.confirmed_before_start.unwrap_or(before_start);
-                self.confirmed_before_start = Some(known.min(before_start));
+            Some(age_at_start) => {
+                let known = self.confirmed_age_at_start.unwrap_or(age_at_start);
+                self.confirmed_age_at_start = Some(known.min(age_at_start));
             }
         }
     }
 
     /// Adopts the store's era from a peer's digest. A peer without a host list reports no era.
-    fn note_era_of_peer(&mut self, now: Timestamp, digest: &VersionDigest, out: &mut Vec<Action>) {
+    fn record_peer_era(&mut self, now: Timestamp, digest: &VersionDigest, out: &mut Vec<Action>) {
         if digest.hosts > Version::NONE {
-            self.note_era(now, digest.hosts.era, None, out);
+            self.record_era(now, digest.hosts.era, None, out);
         }
     }
 
     /// Records the versions that a peer knows, and the peer as a source of newer objects.
-    fn hear_versions(&mut self, now: Timestamp, from: Address, digest: &VersionDigest) {
-        let own = self.state.fleet_version();
-        self.superseded.hear(now, digest.fleet, own);
+    fn record_peer_versions(&mut self, now: Timestamp, from: Address, digest: &VersionDigest) {
+        let own_version = self.state.fleet_version();
+        self.superseded.hear(now, digest.fleet, own_version);
         if self.state.is_behind(digest) {
             let distance = self.distance_of(from);
             self.whole_fetch.hear(now, from, distance);
@@ -307,12 +317,12 @@
             return;
         }
         if let Some(to) = self.whole_fetch.begin(now) {
-            let pull = self.pull_of(now, PullTopic::WholeObjects);
+            let pull = self.pull_for_topic(now, PullTopic::WholeObjects);
             out.push(Action::Pull { to, pull });
         }
     }
 
-    pub(super) fn on_pull_answered(
+    pub(super) fn on_pull_reply(
         &mut self,
         now: Timestamp,
         topic: PullTopic,
@@ -324,12 +334,12 @@
             self.whole_fetch.end();
         }
         if let Some(reply) = reply {
-            self.on_reply(now, topic, asked_at, reply, out);
+            self.apply_pull_reply(now, topic, asked_at, reply, out);
         }
         self.fetch_whole_objects(now, out);
     }
 
-    fn on_reply(
+    fn apply_pull_reply(
         &mut self,
         now: Timestamp,
         topic: PullTopic,
@@ -338,59 +348,65 @@
         out: &mut Vec<Action>,
     ) {
         let from = reply.gossip.sender.address;
-        self.note_era_of_peer(now, &reply.digest, out);
-        self.note_work(now, reply.work);
-        self.note_moving(asked_at, reply.moving);
+        self.record_peer_era(now, &reply.digest, out);
+        self.merge_work_reports(now, reply.work);
+        self.record_last_outputs(asked_at, reply.moving);
         // Ages count from the time of the pull: information that is passed on repeatedly must not
         // appear newer each time.
-        self.learn_quarantine(now, asked_at, reply.quarantine, out);
+        self.apply_quarantine_report(now, asked_at, reply.quarantine, out);
         self.membership.merge(now, reply.gossip);
         self.apply(now, reply.updates, out);
         // A peer's confirmation applies only if the configuration here is at least as new.
-        let is_as_new = self.state.fleet_version() >= reply.digest.fleet;
-        if let Some(age) = reply.confirmed_ms_ago.filter(|_| is_as_new) {
-            self.note_confirmed(asked_at, Duration::from_millis(age));
+        let is_up_to_date = self.state.fleet_version() >= reply.digest.fleet;
+        if let Some(age) = reply.confirmed_ms_ago.filter(|_| is_up_to_date) {
+            self.record_peer_confirmation(asked_at, Duration::from_millis(age));
         }
         // A reply with whole objects already carried all objects that the peer has to offer.
         if topic != PullTopic::WholeObjects {
-            self.hear_versions(now, from, &reply.digest);
+            self.record_peer_versions(now, from, &reply.digest);
         }
         if let Some(age) = reply.hosts_ms_ago {
-            self.hosts_told_at = self.hosts_told_at.max(before(asked_at, age));
+            self.peer_hosts_answered_at =
+                self.peer_hosts_answered_at.max(time_before(asked_at, age));
         }
         let reached = reply.reached.and_then(|reached| {
             let revision = reached.revision;
-            before(asked_at, reached.ms_ago).map(|at| Confirmation { revision, at })
+            time_before(asked_at, reached.ms_ago).map(|at| Confirmation { revision, at })
         });
-        self.confirmation = newer(self.confirmation, reached);
+        self.confirmation = newer_confirmation(self.confirmation, reached);
     }
 
     /// Notifies all peers of a replica that is known to have lost a member. Otherwise each would
     /// send it requests until its host list shows the loss.
-    pub(super) fn tell_lost(&mut self, now: Timestamp, replica: ReplicaId, out: &mut Vec<Action>) {
+    pub(super) fn broadcast_lost_replica(
+        &mut self,
+        now: Timestamp,
+        replica: ReplicaId,
+        out: &mut Vec<Action>,
+    ) {
         let peers = self
             .membership
             .alive(now)
             .map(|peer| peer.address)
             .collect();
         self.notify(peers, vec![replica.clone()], out);
-        self.lose(now, &replica, out);
+        self.mark_replica_lost(now, &replica, out);
     }
 
-    fn lose(&mut self, now: Timestamp, replica: &ReplicaId, out: &mut Vec<Action>) {
+    fn mark_replica_lost(&mut self, now: Timestamp, replica: &ReplicaId, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         self.router.lose(now, replica, &mut self.rng, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
-    pub(super) fn on_noticed(&mut self, now: Timestamp, notice: Notice, out: &mut Vec<Action>) {
+    pub(super) fn on_notice(&mut self, now: Timestamp, notice: Notice, out: &mut Vec<Action>) {
         for replica in &notice.lost {
-            self.lose(now, replica, out);
+            self.mark_replica_lost(now, replica, out);
         }
-        self.on_quarantine_told(now, notice.from, notice.quarantine, out);
-        self.on_limits_told(now, notice.from, notice.limits, out);
-        self.note_era_of_peer(now, &notice.digest, out);
-        self.hear_versions(now, notice.from, &notice.digest);
+        self.on_quarantine_notice(now, notice.from, notice.quarantine, out);
+        self.on_limits_notice(now, notice.from, notice.limits, out);
+        self.record_peer_era(now, &notice.digest, out);
+        self.record_peer_versions(now, notice.from, &notice.digest);
         self.fetch_whole_objects(now, out);
     }
 }
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -20,18 +20,18 @@
 use crate::core::types::{Address, FailureDomain, Timestamp};
 
 /// Membership duty of counting lost attempts.
-const WITNESS_DUTY: &str = "quarantine";
+const LOSS_COUNTER_DUTY: &str = "quarantine";
 /// Number of daemons per failure domain that count lost attempts: one may be down, and a failure
 /// domain that is cut off must decide by itself.
-const WITNESSES: usize = 2;
+const LOSS_COUNTERS_PER_DOMAIN: usize = 2;
 /// Maximum number of quarantined requests in a pull reply. Each takes some 20 bytes.
-const MOST_TOLD: usize = 64;
+const MAX_REPORTED: usize = 64;
 
-fn ago(now: Timestamp, millis: u64) -> Timestamp {
+fn saturating_time_before(now: Timestamp, millis: u64) -> Timestamp {
     now.minus(Duration::from_millis(millis))
 }
 
-fn report_of(now: Timestamp, quarantined: Quarantined) -> QuarantinedReport {
+fn quarantined_report(now: Timestamp, quarantined: Quarantined) -> QuarantinedReport {
     QuarantinedReport {
         fingerprint: quarantined.fingerprint,
         first_lost_ms_ago: now.millis_since(quarantined.first_lost_at),
@@ -40,7 +40,7 @@
     }
 }
 
-fn report(now: Timestamp, news: QuarantineNews) -> QuarantineReport {
+fn report_from_news(now: Timestamp, news: QuarantineNews) -> QuarantineReport {
     let losses = news.losses.into_iter().map(|loss| LossReport {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -53,7 +53,9 @@
     let quarantined = news.quarantined.iter();
     QuarantineReport {
         losses: losses.collect(),
-        quarantined: quarantined.map(|held| report_of(now, *held)).collect(),
+        quarantined: quarantined
+            .map(|entry| quarantined_report(now, *entry))
+            .collect(),
         completions: completions.collect(),
         ..QuarantineReport::default()
     }
@@ -61,17 +63,17 @@
 
 /// Converts the ages in a report to times of this daemon. Times before its start are set to the
 /// start.
-fn news_of(now: Timestamp, report: QuarantineReport) -> QuarantineNews {
+fn news_from_report(now: Timestamp, report: QuarantineReport) -> QuarantineNews {
     let losses = report.losses.into_iter().map(|loss| Loss {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
-        at: ago(now, loss.ms_ago),
+        at: saturating_time_before(now, loss.ms_ago),
     });
-    let quarantined = report.quarantined.iter().map(|held| Quarantined {
-        fingerprint: held.fingerprint,
-        first_lost_at: ago(now, held.first_lost_ms_ago),
-        last_lost_at: ago(now, held.last_lost_ms_ago),
-        evidence: if held.is_proven {
+    let quarantined = report.quarantined.iter().map(|entry| Quarantined {
+        fingerprint: entry.fingerprint,
+        first_lost_at: saturating_time_before(now, entry.first_lost_ms_ago),
+        last_lost_at: saturating_time_before(now, entry.last_lost_ms_ago),
+        evidence: if entry.is_proven {
             Evidence::Proven
         } else {
             Evidence::Suspected
@@ -79,7 +81,7 @@
     });
     let completions = report.completions.iter().map(|completion| Completion {
         fingerprint: completion.fingerprint,
-        at: ago(now, completion.ms_ago),
+        at: saturating_time_before(now, completion.ms_ago),
     });
     QuarantineNews {
         losses: losses.collect(),
@@ -90,32 +92,36 @@
 
 impl Daemon {
     /// Sends new losses to the daemons that count them, and all other new findings to all daemons.
-    pub(super) fn tell_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    pub(super) fn send_quarantine_news(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let news = self.router.take_quarantine_news(now);
         if news.is_empty() {
             return;
         }
         self.end_trials(&news);
         let losses = news.losses.clone();
-        let for_all = QuarantineNews {
+        let for_all_peers = QuarantineNews {
             losses: Vec::new(),
             ..news
         };
-        if !for_all.is_empty() {
+        if !for_all_peers.is_empty() {
             let peers = self.membership.alive(now).map(|peer| peer.address);
-            self.send_quarantine(peers.collect(), report(now, for_all), out);
+            self.send_quarantine(peers.collect(), report_from_news(now, for_all_peers), out);
         }
         if !losses.is_empty() {
-            let for_witnesses = QuarantineNews {
+            let for_counters = QuarantineNews {
                 losses,
                 ..QuarantineNews::default()
             };
-            self.send_quarantine(self.witnesses(now), report(now, for_witnesses), out);
+            self.send_quarantine(
+                self.loss_counters(now),
+                report_from_news(now, for_counters),
+                out,
+            );
         }
     }
 
     /// The daemons that count lost attempts, in all failure domains, without this one.
-    fn witnesses(&self, now: Timestamp) -> Vec<Address> {
+    fn loss_counters(&self, now: Timestamp) -> Vec<Address> {
         let membership = &self.membership;
         let peers = membership.alive(now).map(|peer| &peer.failure_domain);
         let domains: BTreeSet<&FailureDomain> =
@@ -123,7 +129,12 @@
         domains
             .into_iter()
             .flat_map(|domain| {
-                membership.responsible_addresses(now, domain, WITNESS_DUTY, WITNESSES)
+                membership.responsible_addresses(
+                    now,
+                    domain,
+                    LOSS_COUNTER_DUTY,
+                    LOSS_COUNTERS_PER_DOMAIN,
+                )
             })
             .filter(|address| *address != self.identity.address)
             .collect()
@@ -143,7 +154,7 @@
     }
 
     /// Requests a trial from the owner of the target's trials.
-    pub(super) fn ask_trial(
+    pub(super) fn request_trial(
         &mut self,
         now: Timestamp,
         request: TrialRequest,
@@ -152,7 +163,7 @@
         match self.membership.fleet_owner(now, &request.target) {
             Owner::Me => {
                 let grant = self.trials.ask(now, &request);
-                self.own_trials.extend(grant);
+                self.own_trial_grants.extend(grant);
             }
             Owner::Peer(owner) => {
                 let trials_asked = vec![request];
@@ -167,7 +178,7 @@
 
     /// Answers a peer's request for a trial, if this daemon is the owner by its own view of the
     /// membership.
-    fn on_trial_asked(
+    fn on_trial_request(
         &mut self,
         now: Timestamp,
         from: Address,
@@ -188,30 +199,33 @@
     }
 
     /// Starts the trials that this daemon, as their owner, granted to itself.
-    pub(super) fn take_own_trials(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let granted = std::mem::take(&mut self.own_trials);
+    pub(super) fn start_own_trials(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let granted = std::mem::take(&mut self.own_trial_grants);
         if granted.is_empty() {
             return;
         }
-        self.begin_trials(now, granted, out);
+        self.start_trials(now, granted, out);
     }
 
-    fn begin_trials(&mut self, now: Timestamp, granted: Vec<TrialGrant>, out: &mut Vec<Action>) {
+    fn start_trials(&mut self, now: Timestamp, granted: Vec<TrialGrant>, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
         for grant in granted {
             self.router
                 .on_trial(now, &grant, &mut self.rng, &mut actions);
         }
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     /// Ends the trials of requests that are proven to crash upstreams or were cleared by
     /// completing.
     fn end_trials(&mut self, news: &QuarantineNews) {
         let proven = news.quarantined.iter();
-        let proven = proven.filter(|held| held.evidence == Evidence::Proven);
-        let ended = proven.map(|held| held.fingerprint);
-        let cleared = news.completions.iter().map(|done| done.fingerprint);
+        let proven = proven.filter(|entry| entry.evidence == Evidence::Proven);
+        let ended = proven.map(|entry| entry.fingerprint);
+        let cleared = news
+            .completions
+            .iter()
+            .map(|completion| completion.fingerprint);
         for fingerprint in ended.chain(cleared) {
             self.trials.end(fingerprint);
         }
@@ -219,9 +233,11 @@
 
     /// The quarantined requests to include in a pull reply.
     pub(super) fn quarantine_report(&self, now: Timestamp) -> QuarantineReport {
-        let quarantined = self.router.quarantined(now).take(MOST_TOLD);
+        let quarantined = self.router.quarantined(now).take(MAX_REPORTED);
         QuarantineReport {
-            quarantined: quarantined.map(|held| report_of(now, held)).collect(),
+            quarantined: quarantined
+                .map(|entry| quarantined_report(now, entry))
+                .collect(),
             ..QuarantineReport::default()
         }
     }
@@ -237,26 +253,26 @@
         let mut actions = Vec::new();
         self.router
             .on_upstream_checked(now, upstream, is_gone, &mut self.rng, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
-    /// Applies a peer's report, whose ages are relative to `told_at`.
-    pub(super) fn learn_quarantine(
+    /// Applies a peer's report, whose ages are relative to `reported_at`.
+    pub(super) fn apply_quarantine_report(
         &mut self,
         now: Timestamp,
-        told_at: Timestamp,
+        reported_at: Timestamp,
         report: QuarantineReport,
         out: &mut Vec<Action>,
     ) {
-        let news = news_of(told_at, report);
+        let news = news_from_report(reported_at, report);
         self.end_trials(&news);
         let mut actions = Vec::new();
         self.router.learn_quarantine(news, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     /// Handles the quarantine part of a peer's notice.
-    pub(super) fn on_quarantine_told(
+    pub(super) fn on_quarantine_notice(
         &mut self,
         now: Timestamp,
         from: Address,
@@ -264,10 +280,10 @@
         out: &mut Vec<Action>,
     ) {
         for request in std::mem::take(&mut report.trials_asked) {
-            self.on_trial_asked(now, from, &request, out);
+            self.on_trial_request(now, from, &request, out);
         }
         let granted = std::mem::take(&mut report.trials_granted);
-        self.learn_quarantine(now, now, report, out);
-        self.begin_trials(now, granted, out);
+        self.apply_quarantine_report(now, now, report, out);
+        self.start_trials(now, granted, out);
     }
 }
--- a/shalehinge/src/core/daemon/relays.rs
+++ b/shalehinge/src/core/daemon/relays.rs
@@ -21,7 +21,7 @@
 
 /// Number of daemons that pull from the same parent. At one pull per 400 ms each, a parent answers
 /// some 20 small pulls a second, and two levels below two watchers cover 146 daemons.
-const FANOUT: usize = 8;
+const RELAY_FANOUT: usize = 8;
 /// How long a daemon reads only from peers when the fleet starts for the first time. By then the
 /// membership is known, so that few daemons read the platform; requests arrive later.
 const FIRST_START_READ_AFTER: Duration = Duration::from_secs(1);
@@ -29,62 +29,62 @@
 /// short because requests wait meanwhile if all daemons restart at once.
 const RESTART_READ_AFTER: Duration = Duration::from_millis(200);
 /// Interval between two pulls of a daemon that doesn't know the objects it needs to serve.
-const START_INTERVAL: Duration = Duration::from_millis(150);
+const START_PULL_INTERVAL: Duration = Duration::from_millis(150);
 /// Additional delay per rank before a daemon reads the platform as a fallback. The first few
 /// daemons that succeed pass the host list on to the others.
-const FALLBACK_STEP: Duration = Duration::from_millis(30);
+const FALLBACK_DELAY_PER_RANK: Duration = Duration::from_millis(30);
 /// Upper bound of the delay by rank.
-const FALLBACK_SPREAD: Duration = Duration::from_secs(2);
+const MAX_FALLBACK_DELAY: Duration = Duration::from_secs(2);
 /// Age of the host list, in relay intervals, beyond which a daemon no longer relies on its parent.
 /// A reader hears from the platform once per interval plus the wait of a watch, which is about one
 /// and a half intervals, and each level of the tree adds one interval.
-const PATIENCE_INTERVALS: u32 = 6;
+const RELAY_TIMEOUT_INTERVALS: u32 = 6;
 
 impl Daemon {
     /// Pulls changes from a peer if a pull is due.
     pub(super) fn pull_from_relay(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let settings = self.settings.learning;
-        let is_due = settings.relays && !self.has_stopped && now >= self.next_relay_at;
-        if !is_due || self.is_reading(now) && self.knows_objects() {
+        let is_due = settings.relays && !self.has_stopped && now >= self.next_relay_pull_at;
+        if !is_due || self.is_own_host_feed_fresh(now) && self.has_required_objects() {
             return;
         }
-        let (interval, topic) = if self.knows_objects() {
+        let (interval, topic) = if self.has_required_objects() {
             (settings.relay_interval, PullTopic::Objects)
         } else {
-            (START_INTERVAL, PullTopic::All)
+            (START_PULL_INTERVAL, PullTopic::All)
         };
-        self.next_relay_at = now + interval;
+        self.next_relay_pull_at = now + interval;
         let Some(to) = self.relay_target(now) else {
             return;
         };
-        let pull = self.pull_of(now, topic);
+        let pull = self.pull_for_topic(now, topic);
         out.push(Action::Pull { to, pull });
     }
 
     /// Whether this daemon knows the objects that it needs to serve: a configuration and a host
     /// list.
-    fn knows_objects(&self) -> bool {
+    fn has_required_objects(&self) -> bool {
         self.state.fleet().is_some() && self.state.hosts().is_some()
     }
 
-    fn patience(&self) -> Duration {
-        self.settings.learning.relay_interval * PATIENCE_INTERVALS
+    fn relay_timeout(&self) -> Duration {
+        self.settings.learning.relay_interval * RELAY_TIMEOUT_INTERVALS
     }
 
     /// Whether the platform has recently answered this daemon's own host feed.
-    fn is_reading(&self, now: Timestamp) -> bool {
-        let heard_at = self.host_feed_heard_at();
-        heard_at.is_some_and(|at| now.since(at) < self.patience())
+    fn is_own_host_feed_fresh(&self, now: Timestamp) -> bool {
+        let answered_at = self.own_host_feed_answered_at();
+        answered_at.is_some_and(|at| now.since(at) < self.relay_timeout())
     }
 
     /// The peer to pull from: the parent in the tree while the host list is fresh, else a random
     /// choice among the watchers and another peer.
     fn relay_target(&mut self, now: Timestamp) -> Option<Address> {
-        let heard_at = self.host_list_heard_at();
-        let is_fresh = heard_at.is_some_and(|at| now.since(at) < self.patience());
-        let above = is_fresh.then(|| self.daemon_above(now)).flatten();
-        if above.is_some() {
-            return above;
+        let answered_at = self.host_list_answered_at();
+        let is_fresh = answered_at.is_some_and(|at| now.since(at) < self.relay_timeout());
+        let parent = is_fresh.then(|| self.relay_parent(now)).flatten();
+        if parent.is_some() {
+            return parent;
         }
         let watchers = self.settings.learning.watchers;
         let domain = &self.identity.failure_domain;
@@ -96,24 +96,24 @@
     }
 
     /// The parent of this daemon in the tree, or `None` for a watcher.
-    fn daemon_above(&self, now: Timestamp) -> Option<Address> {
+    fn relay_parent(&self, now: Timestamp) -> Option<Address> {
         let ranked = self.membership.ranked(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me)?;
-        let below_watchers = rank.checked_sub(self.settings.learning.watchers)?;
-        let above = ranked.get(below_watchers / FANOUT)?;
-        self.membership.address_of(now, above)
+        let rank_below_watchers = rank.checked_sub(self.settings.learning.watchers)?;
+        let parent = ranked.get(rank_below_watchers / RELAY_FANOUT)?;
+        self.membership.address_of(now, parent)
     }
 
     /// Whether this daemon should read the host list from the platform.
-    pub(super) fn reads_hosts(&self, now: Timestamp) -> bool {
-        if !self.settings.learning.relays || self.was_holder {
+    pub(super) fn should_read_hosts(&self, now: Timestamp) -> bool {
+        if !self.settings.learning.relays || self.is_lease_holder {
             return true;
         }
         if !self.may_read(now) {
             return false;
         }
-        self.is_watcher(now) || self.is_cut_off_from_news(now)
+        self.is_watcher(now) || self.has_relay_timed_out(now)
     }
 
     /// Whether this daemon may read the platform: after a start, peers get some time to answer
@@ -130,36 +130,37 @@
 
     /// Whether peers have provided no fresh host list for so long that this daemon must read it
     /// from the platform.
-    fn is_cut_off_from_news(&self, now: Timestamp) -> bool {
-        let heard_at = self.hosts_told_at.unwrap_or(Timestamp::ZERO);
-        let silent_for = now.since(heard_at);
+    fn has_relay_timed_out(&self, now: Timestamp) -> bool {
+        let answered_at = self.peer_hosts_answered_at.unwrap_or(Timestamp::ZERO);
+        let age = now.since(answered_at);
         // Checked on every tick and nearly always decided here, before the costlier ranking.
-        if silent_for < self.patience() {
+        if age < self.relay_timeout() {
             return false;
         }
         let ranked = self.membership.ranked(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me).unwrap_or(0) as u32;
-        let step = (FALLBACK_STEP * rank).min(FALLBACK_SPREAD);
-        silent_for >= self.patience() + step
+        let delay = (FALLBACK_DELAY_PER_RANK * rank).min(MAX_FALLBACK_DELAY);
+        age >= self.relay_timeout() + delay
     }
 
     /// When the platform last answered the daemon that the host list in force comes from.
-    pub fn host_list_heard_at(&self) -> Option<Timestamp> {
-        self.host_feed_heard_at().max(self.hosts_told_at)
+    pub fn host_list_answered_at(&self) -> Option<Timestamp> {
+        self.own_host_feed_answered_at()
+            .max(self.peer_hosts_answered_at)
     }
 
     /// When the platform last answered this daemon's own host feed.
-    fn host_feed_heard_at(&self) -> Option<Timestamp> {
+    fn own_host_feed_answered_at(&self) -> Option<Timestamp> {
         let feed = self.feeds.iter().find(|feed| feed.scope() == Scope::Hosts);
         feed.and_then(Feed::heard_at)
     }
 
     /// Switches to the host list of peers if the platform answers them but no longer this daemon.
     /// The feed keeps calling, and lists again once it is answered.
-    pub(super) fn prefer_news_of_peers(&mut self, now: Timestamp, index: usize) {
-        let heard_at = self.feeds[index].heard_at();
-        if !self.is_reading(now) && self.hosts_told_at > heard_at {
+    pub(super) fn prefer_peer_host_list(&mut self, now: Timestamp, index: usize) {
+        let answered_at = self.feeds[index].heard_at();
+        if !self.is_own_host_feed_fresh(now) && self.peer_hosts_answered_at > answered_at {
             self.state.forget_other_hosts();
         }
     }
@@ -170,7 +171,7 @@
         if is_idle && self.state.whole_hosts().is_none() {
             return;
         }
-        self.drop_calls_of_feed(index);
+        self.forget_feed_calls(index);
         self.feeds[index].reset();
         self.state.forget_other_hosts();
     }
--- a/shalehinge/src/core/daemon/requests.rs
+++ b/shalehinge/src/core/daemon/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Claimed, Daemon, log, not_run};
+use super::{ClaimedRequest, Daemon, log, not_run};
 use crate::core::engine::EngineStatus;
 use crate::core::event::{Action, Part, StatusPurpose};
 use crate::core::permits::PermitRequest;
@@ -19,7 +19,7 @@
         meta: RequestMeta,
         out: &mut Vec<Action>,
     ) {
-        self.has_served = true;
+        self.has_received_request = true;
         self.record_demand(now, &meta);
         if self.is_stopping {
             let outcome = not_run(NotRunReason::Stopping, Duration::from_secs(1));
@@ -36,14 +36,14 @@
             out.push(Action::Answer { request, outcome });
             return;
         }
-        let claimant = self.operation();
+        let claimant = self.new_operation_id();
         self.claims.claim(now, request, key, claimant);
-        let claimed = Claimed {
+        let claimed = ClaimedRequest {
             key,
             claimant,
-            waiting: Some(meta),
+            pending_meta: Some(meta),
         };
-        self.claimed.insert(request, claimed);
+        self.claimed_requests.insert(request, claimed);
         self.tick_claims(now, out);
     }
 
@@ -73,7 +73,7 @@
         let mut actions = Vec::new();
         self.router
             .submit(now, request, meta, share, &mut self.rng, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn on_signal(
@@ -87,7 +87,7 @@
         let mut actions = Vec::new();
         self.router
             .on_signal(now, request, attempt, signal, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn on_ended(
@@ -106,7 +106,7 @@
         let mut actions = Vec::new();
         self.router
             .on_ended(now, request, attempt, end, &mut self.rng, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn on_report(
@@ -126,7 +126,7 @@
             &mut self.rng,
             &mut actions,
         );
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn on_caller_left(
@@ -136,9 +136,9 @@
         out: &mut Vec<Action>,
     ) {
         let is_waiting_for_claim = self
-            .claimed
+            .claimed_requests
             .get(&request)
-            .is_some_and(|claimed| claimed.waiting.is_some());
+            .is_some_and(|claimed| claimed.pending_meta.is_some());
         if is_waiting_for_claim {
             let outcome = not_run(NotRunReason::CallerLeft, Duration::ZERO);
             self.settle_claim(request, &outcome);
@@ -147,7 +147,7 @@
         }
         let mut actions = Vec::new();
         self.router.cancel(request, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
     pub(super) fn tick_router(&mut self, now: Timestamp, out: &mut Vec<Action>) {
@@ -163,10 +163,10 @@
         }
         let mut actions = Vec::new();
         self.router.tick(now, &mut self.rng, &mut actions);
-        self.router_actions(now, actions, out);
+        self.handle_router_actions(now, actions, out);
     }
 
-    pub(super) fn router_actions(
+    pub(super) fn handle_router_actions(
         &mut self,
         now: Timestamp,
         actions: Vec<RouterAction>,
@@ -179,11 +179,11 @@
                 RouterAction::CheckUpstream { upstream, address } => {
                     out.push(Action::CheckUpstream { upstream, address });
                 }
-                RouterAction::TellLimit(report) => self.tell_limit(now, report, out),
+                RouterAction::TellLimit(report) => self.report_limit(now, report, out),
                 RouterAction::AskPermits { known, wanted } => {
-                    self.ask_permits(now, PermitRequest { known, wanted }, out);
+                    self.request_permits(now, PermitRequest { known, wanted }, out);
                 }
-                RouterAction::AskTrial(request) => self.ask_trial(now, request, out),
+                RouterAction::AskTrial(request) => self.request_trial(now, request, out),
                 RouterAction::Log(text) => log(out, Part::Route, text),
                 RouterAction::Answer { request, outcome } => {
                     let text = format!("request {} ends: {outcome:?}", request.0);
@@ -194,7 +194,7 @@
             }
         }
         self.tick_claims(now, out);
-        self.take_own_limits(now, out);
-        self.take_own_trials(now, out);
+        self.process_own_limit_notices(now, out);
+        self.start_own_trials(now, out);
     }
 }
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -32,15 +32,15 @@
             Part::Daemon,
             "leaving the fleet; no longer ready".into(),
         );
-        let operation = self.operation();
+        let operation = self.new_operation_id();
         if let Some(step) = self.lease.release(now, operation) {
-            self.lease_step(step, out);
+            self.run_lease_step(step, out);
         }
-        self.pull(now, out);
+        self.send_gossip_pull(now, out);
     }
 
     pub(super) fn finish_stop(&mut self, out: &mut Vec<Action>) {
-        let is_done = self.router.pending() == 0 && self.claimed.is_empty();
+        let is_done = self.router.pending() == 0 && self.claimed_requests.is_empty();
         if self.is_stopping && is_done && !self.has_stopped {
             self.has_stopped = true;
             out.push(Action::Stopped);
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -7,36 +7,36 @@
 
 use std::time::Duration;
 
-use super::{Daemon, Purpose, log};
+use super::{CallPurpose, Daemon, log};
 use crate::core::event::{Action, Part};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::{StoreEra, Timestamp, Version};
 
 /// Host heartbeats after which hosts known only from an earlier era are dropped: by then each live
 /// host has rewritten its entry.
-const REWRITE_HEARTBEATS: u32 = 4;
+const EARLIER_HOSTS_HEARTBEATS: u32 = 4;
 /// Maximum age of a host list of an earlier era that is kept after a restore. The copy that a store
 /// is restored from is some seconds old, so an older list is no newer than the copy.
-const LIST_OUTLASTS_COPY: Duration = Duration::from_secs(10);
+const EARLIER_LIST_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// A platform call that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct OpenCall {
     /// What the call was made for.
-    pub(super) purpose: Purpose,
+    pub(super) purpose: CallPurpose,
     /// The era of the versions named in the call, if it names any.
-    pub(super) rests_on: Option<StoreEra>,
+    pub(super) named_era: Option<StoreEra>,
 }
 
 /// What a daemon knows of the store's era.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EraState {
     /// The newest era reported by the platform or a peer.
-    era: Option<StoreEra>,
+    current: Option<StoreEra>,
     /// Whether a reply of an earlier era was ignored, and logged, since the last change of era.
-    has_passed_over: bool,
+    has_logged_ignored_reply: bool,
     /// When hosts known only from an earlier era are dropped.
-    hosts_until: Option<Timestamp>,
+    earlier_hosts_until: Option<Timestamp>,
     /// Whether the era has changed since this daemon started.
     has_changed: bool,
 }
@@ -44,7 +44,7 @@
 impl Daemon {
     /// The era of the platform's store, once the platform or a peer has reported it.
     pub fn store_era(&self) -> Option<StoreEra> {
-        self.era.era
+        self.era_state.current
     }
 
     /// Converts a reply according to its era: a reply of an earlier era counts as none, and a reply
@@ -53,25 +53,25 @@
     /// # Errors
     ///
     /// [`NoAnswer`] if there was no reply, or if the reply proves nothing in the known era.
-    pub(super) fn place_in_era(
+    pub(super) fn check_reply_era(
         &mut self,
         now: Timestamp,
-        rests_on: Option<StoreEra>,
+        named_era: Option<StoreEra>,
         result: PlatformResult,
         out: &mut Vec<Action>,
     ) -> PlatformResult {
         let reply = result?;
         let era = reply.era();
-        if Some(era) < self.era.era {
-            self.note_passed_over_era(era, out);
+        if Some(era) < self.era_state.current {
+            self.log_ignored_era(era, out);
             return Err(NoAnswer);
         }
         let revision = match &reply {
             PlatformReply::Objects { revision, .. } => Some(*revision),
             _ => None,
         };
-        self.note_era(now, era, revision, out);
-        if rests_on.is_none_or(|asked| asked == era) {
+        self.record_era(now, era, revision, out);
+        if named_era.is_none_or(|asked| asked == era) {
             return Ok(reply);
         }
         match reply {
@@ -86,46 +86,46 @@
     /// Whether the store cannot have lost a write: the fleet starts for the first time and no era
     /// has ended since.
     pub(super) fn is_in_first_era(&self) -> bool {
-        self.identity.is_first_start && !self.era.has_changed
+        self.identity.is_first_start && !self.era_state.has_changed
     }
 
-    fn note_passed_over_era(&mut self, era: StoreEra, out: &mut Vec<Action>) {
-        if std::mem::replace(&mut self.era.has_passed_over, true) {
+    fn log_ignored_era(&mut self, era: StoreEra, out: &mut Vec<Action>) {
+        if std::mem::replace(&mut self.era_state.has_logged_ignored_reply, true) {
             return;
         }
-        let known = self.era.era.unwrap_or_default();
+        let known = self.era_state.current.unwrap_or_default();
         let text = format!("ignored a reply of era {era}: the platform is in era {known}");
         log(out, Part::Platform, text);
     }
 
     /// Records the store's era as reported by the platform, with the revision reached in it, or by a
     /// peer. A new era ends the lease, makes all feeds list again, and has claims written again.
-    pub(super) fn note_era(
+    pub(super) fn record_era(
         &mut self,
         now: Timestamp,
         era: StoreEra,
         revision: Option<Version>,
         out: &mut Vec<Action>,
     ) {
-        if self.era.era.is_some_and(|known| era <= known) {
+        if self.era_state.current.is_some_and(|known| era <= known) {
             return;
         }
-        let from = self.era.era.replace(era);
+        let from = self.era_state.current.replace(era);
         let was_holder = self.lease.held(now).is_some();
         self.lease.note_era(now, era, self.identity.is_first_start);
         let Some(from) = from.filter(|from| *from != StoreEra::UNREPORTED) else {
             return;
         };
-        self.era.has_passed_over = false;
-        self.era.has_changed = true;
+        self.era_state.has_logged_ignored_reply = false;
+        self.era_state.has_changed = true;
         self.claims.on_new_era(now);
         for feed in &mut self.feeds {
             feed.begin_era(now);
         }
-        let before = self.confirmation.map(|known| known.revision.number);
+        let previous_revision = self.confirmation.map(|known| known.revision.number);
         let text = format!(
             "restored from a copy: era {from} to {era}, revision {} to {}; listing again{}",
-            before.map_or("unknown".into(), |number| number.to_string()),
+            previous_revision.map_or("unknown".into(), |number| number.to_string()),
             revision.map_or("unknown".into(), |version| version.number.to_string()),
             if was_holder {
                 ", control of the failure domain given up"
@@ -134,29 +134,33 @@
             },
         );
         log(out, Part::Platform, text);
-        self.note_holder(now, out);
+        self.update_lease_holder(now, out);
     }
 
     /// Keeps hosts known from an earlier era for some heartbeats, unless the earlier host list was
     /// already too old.
-    pub(super) fn note_earlier_hosts(&mut self, now: Timestamp, heard_at: Option<Timestamp>) {
+    pub(super) fn keep_earlier_hosts(&mut self, now: Timestamp, answered_at: Option<Timestamp>) {
         if !self.state.has_earlier_hosts() {
             return;
         }
-        let is_recent = heard_at.is_some_and(|at| now.since(at) < LIST_OUTLASTS_COPY);
+        let is_recent = answered_at.is_some_and(|at| now.since(at) < EARLIER_LIST_MAX_AGE);
         if !is_recent {
             self.state.forget_earlier_hosts();
             return;
         }
         let heartbeat = self.settings.control.host_heartbeat;
-        self.era.hosts_until = Some(now + heartbeat * REWRITE_HEARTBEATS);
+        self.era_state.earlier_hosts_until = Some(now + heartbeat * EARLIER_HOSTS_HEARTBEATS);
     }
 
-    pub(super) fn tick_earlier_hosts(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        if self.era.hosts_until.is_none_or(|until| now < until) {
+    pub(super) fn expire_earlier_hosts(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        if self
+            .era_state
+            .earlier_hosts_until
+            .is_none_or(|until| now < until)
+        {
             return;
         }
-        self.era.hosts_until = None;
+        self.era_state.earlier_hosts_until = None;
         self.state.forget_earlier_hosts();
         self.rebuild_topology();
         let text = "dropped hosts of the earlier era; the platform's host list applies".to_owned();
--- a/shalehinge/tests/relays.rs
+++ b/shalehinge/tests/relays.rs
@@ -89,7 +89,7 @@
     fleet.run(Duration::from_secs(3));
     let now = Timestamp::from_duration(fleet.now);
     for daemon in &fleet.daemons {
-        let heard_at = daemon.host_list_heard_at().expect("heard");
+        let heard_at = daemon.host_list_answered_at().expect("heard");
         assert!(
             heard_at <= Timestamp::from_duration(last + TICK),
             "of {now:?}"
