--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -209,8 +209,8 @@
     }
 
     /// The time until which requests with an API key may be sent with the known configuration, or
-    /// `None` if keys don't expire. A start confirms nothing: a daemon that has just started counts
-    /// from the last confirmation before its start, and without one sends no such request.
+    /// `None` if keys don't expire. A start confirms nothing: a daemon that has just started
+    /// counts from the last confirmation before its start, and without one sends no such request.
     pub(super) fn keys_valid_until(&self) -> Option<Timestamp> {
         let valid_for = self.settings.learning.keys_valid_for()?;
         if let Some(confirmed_at) = self.confirmed_at() {
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Pulls from a watcher of the own failure domain when the configuration has not been confirmed
-    /// for `confirm_after`.
+    /// Pulls from a watcher of the own failure domain when the configuration has not been
+    /// confirmed for `confirm_after`.
     pub(super) fn pull_confirmation(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let settings = self.settings.learning;
         let is_due = settings.stale_watches
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -2,8 +2,8 @@
 //! resets.
 //!
 //! A store restored from a copy has lost its last writes and assigns their versions again. A reply
-//! of an earlier era is therefore treated as no reply, and a reply to a call that names versions of
-//! an earlier era proves nothing about the writes between the two.
+//! of an earlier era is therefore treated as no reply, and a reply to a call that names versions
+//! of an earlier era proves nothing about the writes between the two.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 /// Host heartbeats after which hosts known only from an earlier era are dropped: by then each live
 /// host has rewritten its entry.
 const EARLIER_HOSTS_HEARTBEATS: u32 = 4;
-/// Maximum age of a host list of an earlier era that is kept after a restore. The copy that a store
-/// is restored from is some seconds old, so an older list is no newer than the copy.
+/// Maximum age of a host list of an earlier era that is kept after a restore. The copy that a
+/// store is restored from is some seconds old, so an older list is no newer than the copy.
 const EARLIER_LIST_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// A platform call that has not been answered yet.
@@ -47,8 +47,8 @@
         self.era_state.current
     }
 
-    /// Converts a reply according to its era: a reply of an earlier era counts as none, and a reply
-    /// across eras proves only what does not depend on the versions named in the call.
+    /// Converts a reply according to its era: a reply of an earlier era counts as none, and a
+    /// reply across eras proves only what does not depend on the versions named in the call.
     ///
     /// # Errors
     ///
@@ -98,8 +98,8 @@
         log(out, Part::Platform, text);
     }
 
-    /// Records the store's era as reported by the platform, with the revision reached in it, or by a
-    /// peer. A new era ends the lease, makes all feeds list again, and has claims written again.
+    /// Records the store's era as reported by the platform, with the revision reached in it, or by
+    /// a peer. A new era ends the lease, makes all feeds list again, and has claims written again.
     pub(super) fn record_era(
         &mut self,
         now: Timestamp,
--- a/shalehinge/tests/configuration_spread.rs
+++ b/shalehinge/tests/configuration_spread.rs
@@ -1,4 +1,4 @@
-//! A large configuration is in force everywhere in time, also behind narrow links.
+//! A large configuration reaches all daemons in time, even over slow links.
 
 mod relay_support;
 
@@ -9,32 +9,28 @@
 use relay_support::{BytesIn, Fleet};
 use shalehinge::core::types::FleetVersion;
 
-/// Bytes a second of a small entry host's link: 20 Mbit/s.
+/// Bandwidth of a small entry host's link in bytes per second: 20 Mbit/s.
 const SMALL_LINK: f64 = 2_500_000.0;
-/// Time after the platform took a configuration until it must be in force everywhere.
+/// Maximum time from the platform's acceptance of a configuration until all daemons have it in
+/// force.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
 const CHANGE_INTERVAL: Duration = Duration::from_millis(1_800);
 const ROUTES: usize = 2_040;
 const GROUPS: u16 = 24;
 const DAEMONS: u16 = 68;
-/// The daemon whose requests leave a twentieth of its link, and later a fifth.
+/// Index of the daemon whose request traffic leaves only a twentieth of its link's bandwidth, and
+/// later a fifth.
 const BUSY: usize = 7;
 
-/// The story: an operator adds 1,800 routes and then takes away keys, a change each 1.8 s. A
-/// daemon of 68 went on sending requests with such a key for more than six seconds; others were
-/// late by as much, and refused nothing. Nothing was wrong with the platform, nor with the
-/// processor (4 of 12 hundredths of a core); the daemon's link took in 2.5 MB each second for
-/// nine seconds, all that 20 Mbit/s carry, and 0.07 MB went out.
+/// Guards against pull replies that saturate the link of a daemon that is behind. An operator adds
+/// 1,800 routes and then revokes keys, one change every 1.8 s. Every pull reply, whatever its
+/// topic, once carried all newer objects (145 kB), so several peers a second sent the whole
+/// configuration. Together the replies took longer than a pull's time-out of 1 s: all were
+/// abandoned and requested again, with 24 pulls open at a time.
 ///
-/// What proved it: on such a day that daemon had 24 questions to peers open at a time, none of 15
-/// in a second was answered within the second that one may take, and its ticks came 6 ms late
-/// at most. The others were answered with 145 kB for each question while they were behind.
-///
-/// The cause: whatever a daemon asked a peer (is anything new, is it still in force, what
-/// moves), the answer held all that was newer there. A daemon that was behind asked several
-/// peers a second, each answered with the whole configuration, and together they took longer
-/// than the second after which an answer is given up. All were given up and asked for again,
-/// so that the daemon never came to know it, and its link was full of what nobody read.
+/// One of 68 daemons therefore sent requests with a revoked key for more than six seconds. Its
+/// link received 2.5 MB/s, its full 20 Mbit/s, for nine seconds, while the platform was healthy,
+/// the processor nearly idle, and ticks at most 6 ms late.
 #[test]
 fn a_daemon_that_is_behind_catches_up_though_its_link_is_busy() {
     let mut fleet = Fleet::new(DAEMONS);
@@ -58,7 +54,8 @@
     fleet.links.as_mut().expect("limited")[daemon] = bytes_per_second;
 }
 
-/// Callers go on, and replicas of all failure domains stand still.
+/// Runs the fleet while the busy daemon receives streams that stall, so that it suspects replicas
+/// of all failure domains.
 fn run_with_lost_replicas(fleet: &mut Fleet, span: Duration) {
     const INTERVAL: Duration = Duration::from_millis(300);
     let end = fleet.now + span;
@@ -68,7 +65,8 @@
     }
 }
 
-/// Of what was seen in the same story: 0.3 GB crossed the failure domains in 34 s.
+/// Guards against repeated transfers of the same configuration: in the same incident 0.3 GB
+/// crossed failure domains in 34 s.
 #[test]
 fn each_daemon_takes_in_a_configuration_about_once() {
     let mut fleet = Fleet::new(DAEMONS);
@@ -83,15 +81,22 @@
     assert_eq!(fleet.without_configuration(version), Vec::<usize>::new());
     for (daemon, bytes) in fleet.bytes_in.iter().enumerate() {
         let times = bytes.of_peers / of_a_peer;
-        assert!(times < 2.0, "daemon {daemon}: {times:.1} from peers");
+        assert!(
+            times < 2.0,
+            "daemon {daemon} received {times:.1} configurations from peers"
+        );
         let times = bytes.of_platform / of_the_platform;
-        assert!(times < 2.0, "daemon {daemon}: {times:.1} read");
+        assert!(
+            times < 2.0,
+            "daemon {daemon} read {times:.1} configurations from the platform"
+        );
     }
 }
 
-/// By hand: how long a configuration takes to be in force everywhere, by daemons and routes.
+/// Run by hand. Measures how long a configuration takes to be in force at all daemons, by the
+/// number of daemons and routes.
 #[test]
-#[ignore = "measures"]
+#[ignore = "measurement, run by hand"]
 fn time_until_a_configuration_is_in_force_everywhere() {
     for (daemons, routes) in [(68, 240), (68, 2_040), (340, 240), (340, 2_040)] {
         let mut fleet = Fleet::new(daemons);
@@ -102,12 +107,16 @@
         let began = fleet.now;
         while !fleet.without_configuration(version).is_empty() {
             fleet.run(Duration::from_millis(50));
-            assert!(fleet.now - began < Duration::from_secs(60), "never");
+            assert!(
+                fleet.now - began < Duration::from_secs(60),
+                "not in force at all daemons after 60 s"
+            );
         }
         let of_peers: f64 = fleet.bytes_in.iter().map(|bytes| bytes.of_peers).sum();
         let of_platform: f64 = fleet.bytes_in.iter().map(|bytes| bytes.of_platform).sum();
         println!(
-            "{daemons} daemons, {routes} routes: {:?}, {:.1} MB between daemons, {:.1} MB read",
+            "{daemons} daemons, {routes} routes: {:?}, {:.1} MB between daemons, \
+             {:.1} MB from the platform",
             fleet.now - began,
             of_peers / 1e6,
             of_platform / 1e6
--- a/shalehinge/tests/fleet_restart.rs
+++ b/shalehinge/tests/fleet_restart.rs
@@ -1,8 +1,8 @@
-//! All daemons of a fleet start again at once and know nothing, before 3,000 hosts.
+//! All daemons of a fleet restart at once without any state, with 3,000 hosts listed.
 //!
-//! The host list has 60 pages, and the platform answers 2,000 exact reads a second. What must
-//! hold is what operators ask: whoever starts routes within seconds, and the calls follow the
-//! failure domains, not the daemons.
+//! The host list has 60 pages, and the platform answers 2,000 exact reads a second. Operators
+//! require that a restarted daemon routes within seconds, and that the number of platform calls
+//! grows with the failure domains rather than with the daemons.
 
 mod relay_support;
 
@@ -13,11 +13,12 @@
 const PAGES: u32 = 60;
 const READS_PER_SECOND: f64 = 2_000.0;
 const FAILURE_DOMAINS: usize = 3;
-/// Lists of the hosts, against one for each failure domain.
+/// Maximum number of host lists read. One per failure domain would be ideal.
 const MOST_LISTS: usize = 10 * FAILURE_DOMAINS;
 const MOST_ROUTE_WITHIN: Duration = Duration::from_secs(3);
 const ALL_ROUTE_WITHIN: Duration = Duration::from_secs(5);
 
+/// A fleet whose daemons have just restarted.
 fn restarted(daemons: u16) -> Fleet {
     let mut fleet = Fleet::start(daemons, false);
     fleet.platform.open_groups(300);
@@ -26,7 +27,8 @@
     fleet
 }
 
-/// Nearly all route after the first bound, from now on, and all after the second.
+/// Asserts that at least 99% of the live daemons can route after `MOST_ROUTE_WITHIN` from now, and
+/// all after `ALL_ROUTE_WITHIN`.
 fn all_route_in_time(fleet: &mut Fleet) {
     let daemons = fleet.daemons.len() - fleet.dead.len();
     fleet.run(MOST_ROUTE_WITHIN);
@@ -42,8 +44,14 @@
         let mut fleet = restarted(daemons);
         all_route_in_time(&mut fleet);
         let lists = fleet.platform.lists;
-        assert!(lists <= MOST_LISTS, "{lists} lists of {daemons} daemons");
-        assert_eq!(fleet.platform.reads_refused, 0, "of {daemons} daemons");
+        assert!(
+            lists <= MOST_LISTS,
+            "{lists} host lists read by {daemons} daemons"
+        );
+        assert_eq!(
+            fleet.platform.reads_refused, 0,
+            "refused reads of {daemons} daemons"
+        );
     }
 }
 
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -1,4 +1,5 @@
-//! What a daemon learns from the platform and from peers, and how fresh it is.
+//! Feeds of objects from the platform and how fresh they are, the route table, and the replica
+//! counts that follow from a configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -46,9 +47,17 @@
     let mut feed = Feed::new(Scope::Hosts);
     let list = exact_list();
     assert_eq!(feed.next_call(at(10), EXACT, WAIT), Some(list));
-    assert_eq!(feed.next_call(at(11), EXACT, WAIT), None, "one at a time");
+    assert_eq!(
+        feed.next_call(at(11), EXACT, WAIT),
+        None,
+        "one open call at a time"
+    );
     feed.on_answer(at(20), &Ok(objects(7)), SPACING, PAUSE, None);
-    assert_eq!(feed.next_call(at(21), EXACT, WAIT), None, "spaced");
+    assert_eq!(
+        feed.next_call(at(21), EXACT, WAIT),
+        None,
+        "the spacing has not passed"
+    );
     let watch = PlatformCall::Watch {
         scope: Scope::Hosts,
         after: Version::without_era(7),
@@ -66,10 +75,15 @@
     assert_eq!(feed.as_of(), Some(at(10)));
     feed.next_call(at(1_000), EXACT, WAIT);
     feed.on_answer(at(3_000), &Err(NoAnswer), SPACING, PAUSE, None);
-    assert_eq!(feed.as_of(), Some(at(10)), "no answer proves nothing");
+    assert_eq!(
+        feed.as_of(),
+        Some(at(10)),
+        "a call without an answer proves nothing"
+    );
 }
 
-/// A feed that listed revision 7 and then watched with a stale answer of `revision`.
+/// A feed that listed revision 7 and whose watch was then answered by a stale reply of `revision`,
+/// while `confirmed` was the newest known confirmation.
 fn feed_with_stale_answer(revision: u64, confirmed: Confirmation) -> Feed {
     let mut feed = Feed::new(Scope::Hosts);
     feed.next_call(at(10), EXACT, WAIT);
@@ -186,14 +200,18 @@
     assert_eq!(
         state.apply(change(3, &b, None)),
         Applied::Nothing,
-        "over nothing"
+        "no list to apply it to"
     );
     let hosts = BTreeMap::from([(a.clone(), record(1))]);
     assert_ne!(
         state.apply(update(5, Object::Hosts(HostList { hosts }))),
         Applied::Nothing
     );
-    assert_eq!(state.apply(change(4, &b, None)), Applied::Nothing, "older");
+    assert_eq!(
+        state.apply(change(4, &b, None)),
+        Applied::Nothing,
+        "older than the list"
+    );
     assert_ne!(state.apply(change(6, &b, Some(&a))), Applied::Nothing);
     let known: Vec<HostId> = state
         .hosts()
--- a/shalehinge/tests/listed_routing.rs
+++ b/shalehinge/tests/listed_routing.rs
@@ -1,5 +1,5 @@
-//! Routing to upstreams that a list names: what stands still is left, attempts stay
-//! within the route, and keys count only as long as the configuration is confirmed.
+//! Routing to upstreams of a host list: streams move away from stalled replicas, attempts stay
+//! within the route's limit, and API keys are valid only while the configuration is confirmed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -104,7 +104,7 @@
 
     fn lose(&mut self, upstream: &UpstreamId) {
         let UpstreamId::Replica(replica) = upstream else {
-            panic!("no replica");
+            panic!("not a replica: {upstream:?}");
         };
         let mut out = Vec::new();
         self.router.lose(self.now, replica, &mut self.rng, &mut out);
@@ -171,7 +171,7 @@
                 }
                 RouterAction::Answer { request, outcome } => {
                     let earlier = self.answers.insert(request.0, outcome);
-                    assert_eq!(earlier, None, "one answer a request");
+                    assert_eq!(earlier, None, "a request is answered once");
                 }
                 RouterAction::Abandon(_) => self.abandoned += 1,
                 RouterAction::CheckUpstream { upstream, .. } => {
@@ -202,7 +202,7 @@
     let first = harness.last(1).upstream;
     harness.output(1);
     harness.advance(Duration::from_millis(700));
-    assert_eq!(harness.attempts(1), 1, "a pause is no standstill");
+    assert_eq!(harness.attempts(1), 1, "a short pause is not a stall");
     harness.advance(Duration::from_millis(200));
     assert_eq!(harness.attempts(1), 2);
     assert_eq!(harness.abandoned, 1, "the first connection is closed");
@@ -253,7 +253,7 @@
     harness.output(1);
     harness.advance(Duration::from_millis(300));
     assert_eq!(harness.router.suspects(harness.now).len(), 1);
-    assert_eq!(harness.attempts(1), 1, "it may be a pause");
+    assert_eq!(harness.attempts(1), 1, "it may be a short pause");
     harness.progress(1);
     assert_eq!(harness.router.suspects(harness.now).len(), 0);
 }
@@ -272,7 +272,10 @@
         assert_ne!(harness.last(request).upstream, lost);
     }
     harness.lose(&lost);
-    assert_eq!(harness.abandoned, 1, "told twice, moved once");
+    assert_eq!(
+        harness.abandoned, 1,
+        "a second notice of the same loss moves nothing"
+    );
 }
 
 #[test]
@@ -300,7 +303,7 @@
         .iter()
         .map(|a| a.upstream.clone())
         .collect();
-    assert_eq!(used.len(), 4, "each somewhere else");
+    assert_eq!(used.len(), 4, "each attempt on a different upstream");
 }
 
 #[test]
@@ -321,7 +324,11 @@
     let until = harness.now + Duration::from_secs(1);
     harness.router.set_keys_until(Some(until));
     harness.submit(1, keyed());
-    assert_eq!(harness.last(1).valid_until, until, "nor is it sent later");
+    assert_eq!(
+        harness.last(1).valid_until,
+        until,
+        "the attempt must not be sent later"
+    );
     harness.now = until;
     harness.submit(2, keyed());
     assert!(matches!(
@@ -332,7 +339,11 @@
         }
     ));
     harness.submit(3, stream());
-    assert_eq!(harness.attempts(3), 1, "without a key it goes on");
+    assert_eq!(
+        harness.attempts(3),
+        1,
+        "requests without a key are still sent"
+    );
 }
 
 #[test]
@@ -419,10 +430,13 @@
         harness.end(1, AttemptEnd::Refused);
         harness.advance(Duration::from_millis(50));
     }
-    assert!(harness.attempts(1) <= 4, "3 saved up, and none earned");
+    assert!(
+        harness.attempts(1) <= 4,
+        "3 retries from the burst, none earned"
+    );
 }
 
-/// A stream that came at `came_at` and should begin within 300 ms.
+/// A stream whose first output should come within 300 ms.
 fn stream_with_aim() -> RequestMeta {
     RequestMeta {
         first_output_within: Some(Duration::from_millis(300)),
@@ -430,7 +444,7 @@
     }
 }
 
-/// One replica with room for one request, which has answered one after 100 ms.
+/// One replica with room for one request, which has answered one request after 100 ms.
 fn one_place() -> Harness {
     let settings = RouterSettings {
         engine_backlog: 0.0,
@@ -453,10 +467,13 @@
     harness.advance(Duration::from_millis(400));
     harness.submit(4, stream_with_aim());
     harness.end(2, AttemptEnd::Completed { output_tokens: 5 });
-    assert!(harness.sent.contains_key(&4), "on time");
-    assert!(!harness.sent.contains_key(&3), "late already");
+    assert!(harness.sent.contains_key(&4), "can still be on time");
+    assert!(!harness.sent.contains_key(&3), "already late");
     harness.end(4, AttemptEnd::Completed { output_tokens: 5 });
-    assert!(harness.sent.contains_key(&3), "served with what is left");
+    assert!(
+        harness.sent.contains_key(&3),
+        "served with the remaining capacity"
+    );
 }
 
 #[test]
--- a/shalehinge/tests/relay_support/configuration.rs
+++ b/shalehinge/tests/relay_support/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations of one model and one plain service, as large as a test needs.
+//! Configurations of one model and one plain service, of a chosen size.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     model_of_service(&ServiceName::new("engines"), "lector")
 }
 
-/// A configuration with so many routes to one plain service.
+/// A configuration with `routes` routes to one plain service.
 pub fn fleet_config(routes: usize) -> FleetConfig {
     let plain = ServiceConfig {
         path_prefix: String::new(),
@@ -58,7 +58,7 @@
     }
 }
 
-/// The same configuration with a customer that holds so many keys.
+/// The same configuration with one customer that has `keys` API keys.
 pub fn with_keys(mut config: FleetConfig, keys: usize) -> FleetConfig {
     let customer = CustomerConfig {
         key_sha256: (0..keys).map(|key| format!("{key:064}")).collect(),
--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of daemons before a platform, stepped in one thread, with links that carry so much.
+//! A fleet of daemons and a simulated platform, stepped in simulated time in one thread, with
+//! optional limits of the daemons' link bandwidth.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 pub mod configuration;
 pub mod platform;
@@ -25,7 +26,10 @@
 use self::platform::{Platform, platform_bytes};
 pub use self::upstreams::{Arrival, TurnedAway};
 
+/// Number of failure domains, over which the daemons are distributed evenly.
 const DOMAINS: u16 = 3;
+
+/// Settings of all daemons: separate feeds, and host lists relayed between peers.
 fn settings() -> CoreSettings {
     CoreSettings {
         learning: LearningSettings {
@@ -43,80 +47,89 @@
     }
 }
 
-/// A call to the platform that is not answered yet.
+/// A platform call that has not been answered yet.
 struct Call {
     daemon: usize,
+    /// When the call is answered even if nothing has changed.
     until: Duration,
     call: CallId,
     request: PlatformCall,
 }
 
-/// An answer on its way to a daemon.
+/// A reply in transfer to a daemon.
 struct Transfer {
-    /// The peer that it comes from; the platform's link is never full.
+    /// The peer that sends it; `None` for the platform, whose link is unlimited.
     from: Option<usize>,
     to: usize,
     bytes_left: f64,
+    /// When the receiving daemon's time-out expires.
     gives_up_at: Duration,
-    /// What the daemon is told when the answer is whole, and when it is given up; `None` once
-    /// it was told.
+    /// The events for a complete reply and for a time-out; `None` once one was delivered.
     events: Option<(Event, Event)>,
 }
 
-/// Bytes of answers, by who gave them.
+/// Bytes of replies that a daemon received, by their sender.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BytesIn {
+    /// From peers.
     pub of_peers: f64,
+    /// From the platform.
     pub of_platform: f64,
 }
 
-/// Daemons in one thread.
+/// A simulated fleet. Daemons are identified by their index.
 pub struct Fleet {
+    /// Simulated time since the start.
     pub now: Duration,
+    /// The simulated platform.
     pub platform: Platform,
+    /// All daemons, including those that were stopped.
     pub daemons: Vec<Daemon>,
+    /// Daemons that no longer run.
     pub dead: BTreeSet<usize>,
-    /// Daemons that the platform does not answer.
+    /// Daemons whose platform calls all fail.
     pub refused: BTreeSet<usize>,
-    /// Bytes a second that the link of each daemon carries each way; answers of peers come
-    /// at once without.
+    /// Bandwidth of each daemon's link per direction, in bytes per second. `None` delivers replies
+    /// at once.
     pub links: Option<Vec<f64>>,
-    /// Bytes of answers that came to each daemon, also of those that it gave up.
+    /// Bytes of replies received by each daemon, including replies that timed out.
     pub bytes_in: Vec<BytesIn>,
     transfers: Vec<Transfer>,
     events: BTreeMap<(Duration, u64), (usize, Event)>,
     next_event: u64,
     pulls: BTreeMap<PullId, (usize, Timestamp, Pull)>,
     calls: Vec<Call>,
-    /// What the upstreams of groups in need name.
+    /// Request rates that the upstreams of overloaded groups name in their responses.
     pub limits: BTreeMap<GroupNumber, RequestRate>,
-    /// What the upstreams of groups that turn all requests away ask for.
+    /// Cooldowns that the upstreams of groups ask for while they refuse all requests.
     pub cooldowns: BTreeMap<GroupNumber, Duration>,
-    /// Attempts that were turned away so, when their daemons heard of it.
+    /// Attempts refused with a cooldown.
     pub turned_away: Vec<TurnedAway>,
-    /// Groups whose upstreams say in each answer that they are leaving.
+    /// Groups whose upstreams mark each response as coming from a leaving upstream.
     pub leaving: BTreeSet<GroupNumber>,
-    /// Requests that end whole.
+    /// Requests that complete and have not been answered yet.
     finishing: BTreeSet<RequestId>,
-    /// Attempts of those, in the order in which they reached an upstream.
+    /// Attempts of requests that complete, in the order in which they reached an upstream.
     pub arrivals: Vec<Arrival>,
-    /// What became of them.
+    /// Outcomes of requests that complete.
     pub outcomes: Vec<Outcome>,
-    /// Daemons that nobody hears and that hear nobody.
+    /// Daemons that exchange no messages with the daemons outside this set.
     pub cut_off: BTreeSet<usize>,
-    /// Notices that were sent.
+    /// Number of notices sent.
     pub notices: usize,
     /// Requests that crash the upstream that runs them.
     crashing: BTreeSet<RequestId>,
-    /// Upstreams that crashed so.
+    /// Number of upstream crashes caused by these requests.
     pub crashes: usize,
 }
 
 impl Fleet {
+    /// A fleet that starts for the first time.
     pub fn new(daemons: u16) -> Self {
         Self::start(daemons, true)
     }
 
+    /// A fleet of `daemons` daemons that have just started.
     pub fn start(daemons: u16, is_first_start: bool) -> Self {
         let address = |port: u16| -> Address { ([10, 0, 0, 1], port).into() };
         let daemon = |port: u16| {
@@ -158,17 +171,19 @@
         }
     }
 
+    /// Delivers an event to a daemon after a delay.
     fn later(&mut self, after: Duration, daemon: usize, event: Event) {
         self.next_event += 1;
         self.events
             .insert((self.now + after, self.next_event), (daemon, event));
     }
 
-    /// Answers of peers take their time from now on: all links carry so many bytes a second.
+    /// Limits the bandwidth of all daemons' links from now on, per direction.
     pub fn limit_links(&mut self, bytes_per_second: f64) {
         self.links = Some(vec![bytes_per_second; self.daemons.len()]);
     }
 
+    /// Steps the fleet for `span` of simulated time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -189,7 +204,7 @@
         }
     }
 
-    /// Answers the calls whose time came, and watches that something changed for.
+    /// Answers calls that are due, and watches that a change has completed.
     fn answer_calls(&mut self) {
         let is_due =
             |call: &Call| self.platform.has_news_for(&call.request) || self.now >= call.until;
@@ -214,7 +229,8 @@
         }
     }
 
-    /// An answer begins its way, or is there at once where links have no limit.
+    /// Starts the transfer of a reply, or delivers it at once if links are unlimited. `events` are
+    /// those for a complete reply and for a time-out.
     fn begin(
         &mut self,
         from: Option<usize>,
@@ -236,7 +252,7 @@
         });
     }
 
-    /// Moves answers on; those that share a link share it evenly.
+    /// Advances all transfers by one tick. Transfers over the same link share it evenly.
     fn move_transfers(&mut self) {
         let Some(links) = &self.links else {
             return;
@@ -251,7 +267,8 @@
         }
         let mut room = links.clone();
         let share = |transfer: &Transfer| links[transfer.to] / coming[transfer.to];
-        // Those with the narrowest way in leave what they can't use to the others.
+        // Transfers with the smallest incoming share go first, and leave the bandwidth of the
+        // sender's link that they can't use to the others.
         self.transfers
             .sort_by(|one, other| share(one).total_cmp(&share(other)));
         for transfer in &mut self.transfers {
@@ -278,7 +295,7 @@
                 let event = if is_whole { whole } else { given_up };
                 self.later(Duration::ZERO, transfer.to, event);
             }
-            // What is under way fills the link also after it was given up.
+            // A reply that timed out still uses bandwidth until it is transferred.
             if !is_whole {
                 self.transfers.push(transfer);
             }
@@ -294,6 +311,7 @@
         self.begin(Some(from), to, bytes, gives_up_at, (whole, lost));
     }
 
+    /// Whether two daemons can't exchange messages.
     fn is_cut(&self, one: usize, other: usize) -> bool {
         self.cut_off.contains(&one) != self.cut_off.contains(&other)
     }
@@ -310,6 +328,7 @@
         }
     }
 
+    /// Carries out an action of a daemon.
     fn act(&mut self, index: usize, now: Timestamp, action: Action) {
         match action {
             Action::Platform { call, request } => {
@@ -360,7 +379,7 @@
         }
     }
 
-    /// The platform is away for so long, and is restored from its copy.
+    /// Makes the platform unavailable for `away`, then restores it from its copy.
     pub fn restore_platform(&mut self, away: Duration) {
         for Call { daemon, call, .. } in std::mem::take(&mut self.calls) {
             let result = Err(NoAnswer);
@@ -373,7 +392,7 @@
         self.platform.restore();
     }
 
-    /// Daemons that live and do not know the platform's newest list.
+    /// Live daemons that don't know the platform's newest host list.
     pub fn behind(&self) -> Vec<usize> {
         let newest = self.platform.hosts_version();
         let is_behind = |index: &usize| {
@@ -383,7 +402,7 @@
         (0..self.daemons.len()).filter(is_behind).collect()
     }
 
-    /// Daemons that live and can't route: they lack the configuration or the hosts.
+    /// Number of live daemons that can't route, as they lack a configuration or a host list.
     pub fn cannot_route(&self) -> usize {
         let lacks = |index: &usize| {
             let state = self.daemons[*index].state();
@@ -393,12 +412,13 @@
         living.filter(lacks).count()
     }
 
-    /// Daemons that do not have this configuration, or a newer one, in force.
+    /// Daemons that have an older configuration than `version` in force.
     pub fn without_configuration(&self, version: FleetVersion) -> Vec<usize> {
         let is_behind = |index: &usize| self.daemons[*index].state().fleet_version() < version;
         (0..self.daemons.len()).filter(is_behind).collect()
     }
 
+    /// The watchers of all failure domains, including dead ones.
     pub fn watchers(&self) -> Vec<usize> {
         let now = Timestamp::from_duration(self.now);
         let is_watcher = |index: &usize| {
@@ -409,7 +429,7 @@
     }
 }
 
-/// How long an answer of a peer may take.
+/// Time-out of a pull.
 fn peer_timeout(pull: &Pull) -> Duration {
     match pull.topic {
         PullTopic::WholeObjects => Timeouts::default().peer + LARGE_ANSWER_TIMEOUT,
@@ -417,6 +437,7 @@
     }
 }
 
+/// The event of a pull's reply, or of its time-out if `reply` is `None`.
 fn answered(asked_at: Timestamp, pull: &Pull, reply: Option<PullReply>) -> Event {
     Event::PullAnswered {
         topic: pull.topic,
--- a/shalehinge/tests/relay_support/platform.rs
+++ b/shalehinge/tests/relay_support/platform.rs
@@ -1,4 +1,4 @@
-//! A platform that remembers all changes of its host list, with limits on reads.
+//! A simulated platform that keeps all changes of its host list and can limit the rate of reads.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use super::DOMAINS;
 use super::configuration::{fleet_config, model};
 
-/// Hosts of the list: instances of a plain service, each a target of requests.
+/// Number of hosts listed at the start, each an instance of a plain service.
 const HOSTS: u16 = 30;
 
 fn record(port: u16, state: HostState) -> HostRecord {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Rank 0 of an open group.
+/// The record of the host with rank 0 of a serving group.
 fn open_group(port: u16) -> HostRecord {
     let number = GroupNumber(u64::from(port));
     let status = EngineStatus {
@@ -60,7 +60,7 @@
     }
 }
 
-/// What a copy of the platform holds.
+/// A copy of the platform's store.
 struct Copy {
     revision: u64,
     changes: Vec<(u64, HostId, HostRecord)>,
@@ -68,32 +68,37 @@
     objects: BTreeMap<ObjectKey, Versioned<Object>>,
 }
 
-/// A platform that remembers all changes; a watch waits for one.
+/// A simulated platform. Watches wait for a change.
 pub struct Platform {
     era: u32,
     revision: u64,
+    /// The copy that [`Self::restore`] restores.
     copy: Option<Copy>,
-    /// Number of the last configuration that was written, whatever became of it.
+    /// Generation of the last configuration written, even if a restore has lost it.
     generation: u64,
+    /// All changes of the host list, each with its revision.
     changes: Vec<(u64, HostId, HostRecord)>,
     configuration: Versioned<FleetConfig>,
     objects: BTreeMap<ObjectKey, Versioned<Object>>,
+    /// Number of host lists read.
     pub lists: usize,
+    /// Number of calls, including those that were refused.
     pub calls: usize,
-    /// Pages of the host list, each read after the one before it.
+    /// Number of pages of the host list, which are read one after the other.
     pub pages: u32,
-    /// Exact reads that are answered in a second; the others are refused.
+    /// Maximum rate of exact reads per second; reads above it are refused. `None` for no limit.
     pub reads_per_second: Option<f64>,
-    /// Exact reads that may be made now.
+    /// Exact reads that the rate limit allows now.
     reads_left: f64,
-    /// Exact reads that were refused.
+    /// Number of exact reads that were refused.
     pub reads_refused: usize,
 }
 
-/// Time of one page of a list, there and back.
+/// Round-trip time of one page of a list.
 const PAGE_TIME: Duration = Duration::from_millis(10);
 
 impl Platform {
+    /// A platform with a configuration and `HOSTS` live hosts.
     pub fn new() -> Self {
         let mut platform = Self {
             era: 1,
@@ -119,6 +124,7 @@
         platform
     }
 
+    /// Writes the record of the host at `port`.
     pub fn change(&mut self, port: u16, state: HostState) {
         self.revision += 1;
         let host = HostId::new(&format!("h{port}"));
@@ -126,7 +132,7 @@
             .push((self.revision, host, record(port, state)));
     }
 
-    /// Groups of one host each are listed as open, so many of them, from port 100 on.
+    /// Lists `count` serving groups of one host each, with numbers and ports from 100 on.
     pub fn open_groups(&mut self, count: u16) {
         for port in 100..100 + count {
             self.revision += 1;
@@ -135,17 +141,17 @@
         }
     }
 
-    /// Version of the newest host list.
+    /// Revision of the newest host list.
     pub fn hosts_version(&self) -> u64 {
         self.changes.last().map_or(1, |(revision, _, _)| *revision)
     }
 
-    /// A number that it tells now.
+    /// The version with this number in the current era.
     fn version(&self, number: u64) -> Version {
         Version::new(StoreEra::new(self.era), number)
     }
 
-    /// Takes a configuration, to which its writer gives the next number; returns its version.
+    /// Writes a configuration with the next generation, and returns its version.
     pub fn configure(&mut self, value: FleetConfig) -> FleetVersion {
         self.revision += 1;
         self.generation += 1;
@@ -158,7 +164,7 @@
         self.configuration.fleet_version()
     }
 
-    /// Copies all that is kept now.
+    /// Takes a copy of the store.
     pub fn take_copy(&mut self) {
         self.copy = Some(Copy {
             revision: self.revision,
@@ -168,7 +174,8 @@
         });
     }
 
-    /// Goes on from the copy: what was written since is lost, and revisions are given out anew.
+    /// Restores the store from the copy in a new era: later writes are lost, and their revisions
+    /// are assigned again.
     pub fn restore(&mut self) {
         let copy = self.copy.take().expect("copied before");
         self.era += 1;
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Whether a watch that waits has something to tell.
+    /// Whether a waiting watch has a change to report.
     pub fn has_news_for(&self, request: &PlatformCall) -> bool {
         match request {
             PlatformCall::Watch { after, .. } if after.number > self.revision => true,
@@ -217,7 +224,7 @@
         PlatformReply::Written(version)
     }
 
-    /// How long the call waits for a change.
+    /// Time until the call is answered if nothing changes.
     pub fn wait(&self, request: &PlatformCall) -> Duration {
         match request {
             PlatformCall::Watch { wait, .. } => *wait,
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Time passes, and reads may be made again.
+    /// Refills the rate limit of exact reads after `time` has passed.
     pub fn refill(&mut self, time: Duration) {
         if let Some(rate) = self.reads_per_second {
             let refilled = self.reads_left + rate * time.as_secs_f64();
@@ -237,8 +244,8 @@
         }
     }
 
-    /// Whether the rate of exact reads leaves no room for this call; what it takes is gone in
-    /// either case.
+    /// Whether the rate limit of exact reads refuses this call. The call counts against the limit
+    /// in either case.
     pub fn refuses(&mut self, request: &PlatformCall) -> bool {
         let (freshness, pages) = match request {
             PlatformCall::List {
@@ -259,6 +266,7 @@
         is_refused
     }
 
+    /// Answers a call with the current objects.
     pub fn answer(&mut self, request: &PlatformCall) -> PlatformReply {
         self.calls += 1;
         let revision = self.version(self.revision);
@@ -322,7 +330,7 @@
     }
 }
 
-/// Bytes of an answer of the platform.
+/// Size of a platform reply in bytes; 0 for replies without a list of objects.
 pub fn platform_bytes(reply: &PlatformReply) -> usize {
     let PlatformReply::Objects { updates, .. } = reply else {
         return 0;
@@ -330,7 +338,8 @@
     json_bytes(updates)
 }
 
-/// Bytes in the form of the platform, which tells names where peers tell places.
+/// Size in bytes in the platform's encoding, JSON, which names members where the encoding between
+/// peers sends them by position.
 pub fn json_bytes(value: &impl serde::Serialize) -> usize {
     serde_json::to_vec(value).expect("encodes").len()
 }
--- a/shalehinge/tests/relay_support/scene.rs
+++ b/shalehinge/tests/relay_support/scene.rs
@@ -1,4 +1,4 @@
-//! Daemons before groups of a model, all of which know each other.
+//! A fleet of daemons that serves requests with serving groups of one model.
 
 use std::time::Duration;
 
@@ -7,23 +7,28 @@
 
 use super::{Arrival, Fleet};
 
-/// The first group that the platform of the tests opens.
+/// Number of the first group that the simulated platform lists.
 const FIRST_GROUP: u64 = 100;
-/// Pause between the rounds in which callers come.
+/// Time between two rounds of requests.
 const ROUND: Duration = Duration::from_millis(50);
 
+/// The number of the group at this index.
 pub fn group(index: u64) -> GroupNumber {
     GroupNumber(FIRST_GROUP + index)
 }
 
+/// A fleet under an even load of requests that complete.
 pub struct Scene {
+    /// The simulated fleet.
     pub fleet: Fleet,
-    /// Rounds between two requests of one daemon.
+    /// Number of rounds from one request of a daemon to its next.
     pub every: usize,
     round: usize,
 }
 
 impl Scene {
+    /// A fleet of `daemons` daemons and `groups` groups, after 10 s in which all daemons have come
+    /// to know them. Each daemon receives a request every `every` rounds.
     pub fn new(daemons: u16, groups: u16, every: usize) -> Self {
         let mut fleet = Fleet::start(daemons, false);
         fleet.platform.open_groups(groups);
@@ -35,12 +40,12 @@
         }
     }
 
-    /// Nine daemons before 18 groups: 180 requests a second.
+    /// Nine daemons and 18 groups, under 180 requests a second.
     pub fn small() -> Self {
         Self::new(9, 18, 1)
     }
 
-    /// Callers come to all daemons that live, evenly.
+    /// Runs the fleet for `time` with requests spread evenly over the live daemons.
     pub fn serve(&mut self, time: Duration) {
         let end = self.fleet.now + time;
         while self.fleet.now < end {
@@ -55,11 +60,12 @@
         }
     }
 
+    /// Like [`Self::serve`], for a time in seconds.
     pub fn serve_seconds(&mut self, seconds: u64) {
         self.serve(Duration::from_secs(seconds));
     }
 
-    /// When a group's requests came, from `since` on.
+    /// Arrival times of a group's requests, from `since` on.
     pub fn times(&self, index: u64, since: Duration) -> Vec<Duration> {
         let of_group = |arrival: &&Arrival| arrival.group == group(index);
         let arrivals = self.fleet.arrivals.iter().filter(of_group);
@@ -67,13 +73,13 @@
         times.filter(|at| *at >= since).collect()
     }
 
-    /// Requests a second of a group since then.
+    /// Average rate of a group's requests per second, from `since` until now.
     pub fn rate_since(&self, index: u64, since: Duration) -> f64 {
         let time = self.fleet.now - since;
         self.times(index, since).len() as f64 / time.as_secs_f64()
     }
 
-    /// Requests that were served, and all that ended.
+    /// Number of requests that completed, and of all that ended.
     pub fn served(&self) -> (usize, usize) {
         let outcomes = &self.fleet.outcomes;
         let whole = outcomes.iter().filter(|o| **o == Outcome::Completed);
--- a/shalehinge/tests/relay_support/upstreams.rs
+++ b/shalehinge/tests/relay_support/upstreams.rs
@@ -1,4 +1,4 @@
-//! Callers of a fleet in simulated time, and the upstreams that run what it sends.
+//! Simulated callers of a fleet, and the upstreams that run its requests.
 
 use std::time::Duration;
 
@@ -13,32 +13,38 @@
 use super::Fleet;
 use super::configuration::model;
 
-/// Time that callers give a stream.
+/// Time from a stream's start to its deadline.
 const STREAM_DEADLINE: Duration = Duration::from_secs(6);
 
-/// An attempt that reached the upstream of a group.
+/// An attempt of a request that completes, as it reached the upstream of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
+    /// When it reached the upstream.
     pub at: Duration,
+    /// Index of the daemon that sent it.
     pub daemon: usize,
+    /// The group that it was sent to.
     pub group: GroupNumber,
 }
 
-/// An attempt that an upstream turned away, with a cooldown.
+/// An attempt that an upstream refused and answered with a cooldown.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnedAway {
-    /// When the daemon was answered.
+    /// When the daemon received the response.
     pub at: Duration,
+    /// Index of the daemon that sent it.
     pub daemon: usize,
+    /// The group that refused it.
     pub group: GroupNumber,
+    /// The cooldown that the upstream asked for.
     pub cooldown: Duration,
 }
 
-/// How long a request that ends whole runs.
+/// Run time of a request that completes.
 const RUN_TIME: Duration = Duration::from_millis(300);
 
 impl Fleet {
-    /// Callers send a daemon so many streams, each of which stops after its first output.
+    /// Sends a daemon `count` streams, each of which stalls after its first output.
     pub fn streams_that_stand_still(&mut self, index: usize, count: u64) {
         for _ in 0..count {
             self.next_event += 1;
@@ -48,7 +54,7 @@
         }
     }
 
-    /// A caller sends a daemon a stream that ends whole.
+    /// Sends a daemon a stream that completes.
     pub fn whole_stream(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
@@ -60,7 +66,7 @@
         self.handle(index, Event::Request { request, meta });
     }
 
-    /// The request of [`Self::crashing_stream`], once no upstream crashes under it any more.
+    /// Sends a daemon the request of [`Self::crashing_stream`] again, which now completes.
     pub fn same_stream_that_ends_whole(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
@@ -69,7 +75,7 @@
         self.handle(index, Event::Request { request, meta });
     }
 
-    /// An attempt reaches its upstream.
+    /// Runs an attempt on its upstream.
     pub(super) fn run_attempt(&mut self, index: usize, sent: &Attempt) {
         if self.finishing.contains(&sent.request) {
             self.run_whole(index, sent);
@@ -90,7 +96,8 @@
         self.later(TICK, index, Event::Output { request, attempt });
     }
 
-    /// The upstream runs an attempt, and says in the head of its answer what it takes.
+    /// Runs an attempt that completes, with the upstream's limit and leaving mark in the head of
+    /// the response, unless the group refuses it with a cooldown.
     fn run_whole(&mut self, index: usize, sent: &Attempt) {
         let (request, attempt) = (sent.request, sent.id);
         let Some(group) = sent.group else {
@@ -126,6 +133,7 @@
         self.later(RUN_TIME, index, ended);
     }
 
+    /// The leaving mark in the responses of a group's upstreams.
     fn mark_of(&self, group: GroupNumber) -> LeavingMark {
         if self.leaving.contains(&group) {
             LeavingMark::Leaving
@@ -134,7 +142,7 @@
         }
     }
 
-    /// The upstream does not run an attempt, and asks for a cooldown.
+    /// Refuses an attempt without running it, and asks for a cooldown.
     fn turn_away(&mut self, daemon: usize, sent: &Attempt, group: GroupNumber, cooldown: Duration) {
         let (request, attempt) = (sent.request, sent.id);
         self.turned_away.push(TurnedAway {
@@ -162,7 +170,7 @@
         self.later(TICK, daemon, ended);
     }
 
-    /// A caller sends a daemon the one request that crashes whoever runs it.
+    /// Sends a daemon the request that crashes each upstream that runs it.
     pub fn crashing_stream(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
@@ -172,7 +180,7 @@
     }
 }
 
-/// A stream that may not be repeated.
+/// A request for a stream that must not be repeated.
 fn stream(deadline: Timestamp) -> RequestMeta {
     RequestMeta {
         customer: Customer::new("one"),
--- a/shalehinge/tests/relays.rs
+++ b/shalehinge/tests/relays.rs
@@ -1,4 +1,4 @@
-//! News of the platform reach all daemons of a fleet though few read it themselves.
+//! Changes on the platform reach all daemons of a fleet although few read the platform themselves.
 
 mod relay_support;
 
@@ -9,7 +9,7 @@
 use shalehinge::core::objects::HostState;
 use shalehinge::core::types::{HostId, Timestamp};
 
-/// Calls of ten seconds in which nothing changes.
+/// Number of platform calls of a fleet in ten seconds without changes.
 fn calls_at_rest(daemons: u16) -> usize {
     let mut fleet = Fleet::new(daemons);
     fleet.run(Duration::from_secs(15));
@@ -31,7 +31,7 @@
     let (few, many) = (calls_at_rest(60), calls_at_rest(240));
     assert!(
         many <= few + few / 20,
-        "{few} and {many} calls in ten seconds"
+        "{few} calls of 60 daemons and {many} of 240 in ten seconds"
     );
 }
 
@@ -42,7 +42,7 @@
     fleet.platform.change(3, HostState::Leaving);
     fleet.run(Duration::from_millis(1_800));
     assert_eq!(fleet.behind(), Vec::<usize>::new());
-    let hosts = fleet.daemons[7].state().hosts().expect("known");
+    let hosts = fleet.daemons[7].state().hosts().expect("host list known");
     assert_eq!(
         hosts.value.hosts[&HostId::new("h3")].state,
         HostState::Leaving
@@ -89,10 +89,10 @@
     fleet.run(Duration::from_secs(3));
     let now = Timestamp::from_duration(fleet.now);
     for daemon in &fleet.daemons {
-        let heard_at = daemon.host_list_answered_at().expect("heard");
+        let answered_at = daemon.host_list_answered_at().expect("host list known");
         assert!(
-            heard_at <= Timestamp::from_duration(last + TICK),
-            "of {now:?}"
+            answered_at <= Timestamp::from_duration(last + TICK),
+            "{answered_at:?} is later than the last reply, at {now:?}"
         );
     }
 }
--- a/shalehinge/tests/restored_platform.rs
+++ b/shalehinge/tests/restored_platform.rs
@@ -1,5 +1,5 @@
-//! A platform that is restored from a copy: its last writes are lost, and it gives out their
-//! revisions anew.
+//! A platform that is restored from a copy: it has lost its last writes and assigns their
+//! revisions again.
 
 mod relay_support;
 
@@ -11,17 +11,18 @@
 use shalehinge::core::objects::HostState;
 use shalehinge::core::types::HostId;
 
-/// Time after the platform took a change until it must be in force everywhere.
+/// Maximum time from the platform's acceptance of a change until all daemons have it in force.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
-/// Time after a host said that it is leaving until nobody may use it.
+/// Maximum time from a host's announcement that it is leaving until no daemon uses it.
 const DRAINED_WITHIN: Duration = Duration::from_secs(2);
-/// Writes that the copy lacks.
+/// Number of writes that the copy lacks.
 const LOST_WRITES: usize = 40;
+/// How long the platform is unavailable before it is restored.
 const AWAY: Duration = Duration::from_secs(2);
-/// What users allow after trouble in the platform until its clients are in contact again.
+/// Time that users of the platform allow clients to reconnect after an outage.
 const IN_CONTACT: Duration = Duration::from_secs(3);
 
-/// All daemons know what the platform then loses; it has just come back.
+/// A fleet whose daemons know writes that the platform lost in a restore that has just ended.
 fn just_restored(daemons: u16) -> Fleet {
     let mut fleet = Fleet::new(daemons);
     fleet.run(Duration::from_secs(10));
@@ -37,19 +38,20 @@
     fleet
 }
 
-/// The same, and all are in contact with it again.
+/// Like [`just_restored`], after all daemons have reconnected to the platform.
 fn restored(daemons: u16) -> Fleet {
     let mut fleet = just_restored(daemons);
     fleet.run(IN_CONTACT);
     fleet
 }
 
+/// Number of routes in force at a daemon.
 fn routes(daemon: &Daemon) -> usize {
     let fleet = daemon.state().fleet();
     fleet.map_or(0, |fleet| fleet.value.routes.len())
 }
 
-/// Daemons with another number of routes in force.
+/// Number of daemons that have a different number of routes in force than `count`.
 fn without_routes(fleet: &Fleet, count: usize) -> usize {
     let others = fleet.daemons.iter().filter(|d| routes(d) != count);
     others.count()
@@ -60,7 +62,7 @@
     fleet.platform.configure(fleet_config(2));
     fleet.platform.configure(with_keys(fleet_config(3), 1));
     fleet.run(IN_FORCE_WITHIN);
-    assert_eq!(without_routes(&fleet, 3), 0, "of {daemons}");
+    assert_eq!(without_routes(&fleet, 3), 0, "with {daemons} daemons");
 }
 
 #[test]
@@ -134,8 +136,8 @@
         fleet.restore_platform(AWAY);
         for _ in 0..100 {
             fleet.run(Duration::from_millis(50));
-            assert_eq!(fleet.cannot_route(), 0, "of {daemons}");
-            assert_eq!(without_routes(&fleet, 2), 0, "of {daemons}");
+            assert_eq!(fleet.cannot_route(), 0, "with {daemons} daemons");
+            assert_eq!(without_routes(&fleet, 2), 0, "with {daemons} daemons");
         }
     }
 }
@@ -162,20 +164,24 @@
     assert_eq!(fleet.daemons.iter().filter(knows).count(), 0);
 }
 
-/// Most time after a change until `is_known` holds at all daemons.
+/// Runs the fleet until `is_known` holds at all daemons, and returns the time that it took.
 fn time_until(fleet: &mut Fleet, is_known: impl Fn(&Daemon) -> bool) -> Duration {
     const STEP: Duration = Duration::from_millis(50);
     let began = fleet.now;
     while !fleet.daemons.iter().all(&is_known) {
         fleet.run(STEP);
-        assert!(fleet.now - began < Duration::from_secs(60), "never");
+        assert!(
+            fleet.now - began < Duration::from_secs(60),
+            "not known to all daemons after 60 s"
+        );
     }
     fleet.now - began
 }
 
-/// By hand: what a copy costs the platform and how soon all daemons know, by their number.
+/// Run by hand. Measures, by the number of daemons, the platform calls that a restore causes and
+/// how soon all daemons know the new era and the changes in it.
 #[test]
-#[ignore = "measures"]
+#[ignore = "measurement, run by hand"]
 fn time_and_calls_after_a_copy() {
     for daemons in [9, 90, 340] {
         let mut fleet = just_restored(daemons);
--- a/shalehinge/tests/store_era.rs
+++ b/shalehinge/tests/store_era.rs
@@ -1,4 +1,5 @@
-//! Eras of the platform's store at one daemon: which answers count, who may act, what is kept.
+//! Eras of the platform's store at one daemon: the order of versions, who may hold the lease, and
+//! which hosts, configurations and claims are kept after a restore.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -93,7 +94,7 @@
     lease.step(at(millis), true, OperationId(millis))
 }
 
-/// A daemon that holds the lease in the first era, by a write sent at 1,400 ms.
+/// A lease held in the first era by a write sent at 1,400 ms.
 fn holder() -> ControlLease {
     let mut lease = lease();
     lease.note_era(at(0), FIRST, true);
@@ -105,7 +106,8 @@
     lease
 }
 
-/// When the lease is first written, reading this each time that it asks.
+/// The time in milliseconds of the first write of the lease from `from` on, when each read returns
+/// `value`.
 fn written_at(lease: &mut ControlLease, from: u64, value: Option<Versioned<LeaseRecord>>) -> u64 {
     for millis in (from..from + 20_000).step_by(50) {
         match step(lease, millis) {
@@ -114,7 +116,7 @@
             None => {}
         }
     }
-    panic!("never written");
+    panic!("lease not written within 20 s");
 }
 
 #[test]
@@ -127,7 +129,7 @@
     let millis = written_at(&mut lease, 2_000, copied);
     assert!(millis < 2_200, "{millis}");
     lease.on_written(at(millis + 10), Version::new(SECOND, 4));
-    let new_token = lease.held(at(millis + 20)).expect("held anew");
+    let new_token = lease.held(at(millis + 20)).expect("held again");
     assert!(new_token > token);
     assert!(!new_token.is_before(SECOND));
 }
@@ -164,7 +166,7 @@
     lease.note_era(at(0), StoreEra::UNREPORTED, false);
     assert!(
         written_at(&mut lease, 0, None) < 2_000,
-        "no eras, no copies"
+        "a store without eras is not restored from copies"
     );
 }
 
@@ -247,7 +249,8 @@
 const LIVE: Option<HostState> = Some(HostState::Live);
 const LEAVING: Option<HostState> = Some(HostState::Leaving);
 
-/// A list of the first era, then these changes, then the copy.
+/// The state after a host list of the first era, these changes, and the host list of a copy in the
+/// second era.
 fn after_copy(first: Object, changes: Vec<Object>, copy: Object) -> FleetState {
     let mut state = FleetState::default();
     apply(&mut state, Version::new(FIRST, 300), first);
@@ -269,7 +272,7 @@
     assert_eq!(routed(&state, HOST), LEAVING);
 
     let state = after_copy(live.clone(), vec![removed(HOST)], live);
-    assert_eq!(routed(&state, HOST), None, "it left before");
+    assert_eq!(routed(&state, HOST), None, "removed before the restore");
 }
 
 #[test]
@@ -297,7 +300,7 @@
     assert_eq!(routed(&state, OTHER), LIVE);
     let again = changed(HOST, host(HostState::Live, 2));
     apply(&mut state, Version::new(SECOND, 293), again);
-    assert_eq!(routed(&state, HOST), LIVE, "another life");
+    assert_eq!(routed(&state, HOST), LIVE, "a new start of the engine");
 }
 
 #[test]
@@ -344,14 +347,22 @@
     let mut state = FleetState::default();
     state.apply(configured(28, Version::new(FIRST, 314)));
     state.apply(configured(26, Version::new(SECOND, 290)));
-    assert_eq!(state.fleet_version().generation, 28, "not back");
+    assert_eq!(
+        state.fleet_version().generation,
+        28,
+        "not replaced by an older one"
+    );
     assert!(state.is_fleet_lost());
     assert_eq!(state.stored_fleet_version(), Version::new(SECOND, 290));
     state.apply(configured(30, Version::new(SECOND, 295)));
     assert_eq!(state.fleet_version().generation, 30);
     assert!(!state.is_fleet_lost());
     state.apply(configured(29, Version::new(FIRST, 400)));
-    assert_eq!(state.fleet_version().generation, 30, "a late peer");
+    assert_eq!(
+        state.fleet_version().generation,
+        30,
+        "update of a peer in an earlier era"
+    );
 }
 
 const KEY: KeyHash = KeyHash(1);
@@ -382,17 +393,17 @@
     book.on_read(0, nothing(SECOND));
     let (steps, _) = book.poll(at(2_100), WALL);
     let Some(ClaimStep::Write { value, .. }) = steps.first() else {
-        panic!("not written again: {steps:?}");
+        panic!("claim not rewritten: {steps:?}");
     };
     assert_eq!(value.claims.keys().collect::<Vec<_>>(), [&KEY]);
     let granted = book.on_written(0, Version::new(SECOND, 1));
-    assert_eq!(granted, [], "its own claims are no grants");
+    assert_eq!(granted, [], "rewritten claims grant no request");
     assert_eq!(book.poll(at(3_000), WALL).0, []);
     let (steps, results) = book.poll(at(4_000), WALL);
     assert_eq!(
         results,
         [(RequestId(2), ClaimResult::Unavailable)],
-        "not run, and said so"
+        "refused, as the key may have been claimed"
     );
     assert_eq!(steps, [ClaimStep::Read(0)]);
     book.on_read(0, nothing(SECOND));
@@ -400,7 +411,7 @@
     let (steps, _) = book.poll(at(5_000), WALL);
     assert!(
         matches!(steps.first(), Some(ClaimStep::Write { .. })),
-        "granted again: {steps:?}"
+        "claims are granted again: {steps:?}"
     );
 }
 
@@ -417,6 +428,6 @@
     let (steps, _) = book.poll(at(2_100), WALL);
     assert!(
         !matches!(steps.first(), Some(ClaimStep::Write { .. })),
-        "{steps:?}"
+        "withdrawn claim rewritten: {steps:?}"
     );
 }
--- a/shalehinge/tests/store_era_answers.rs
+++ b/shalehinge/tests/store_era_answers.rs
@@ -1,4 +1,4 @@
-//! Which answers of the platform's store count at one daemon, by the eras that they tell.
+//! Which replies of the platform's store a daemon accepts, by their eras.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,6 +17,7 @@
 const FIRST: StoreEra = StoreEra::new(1);
 const SECOND: StoreEra = StoreEra::new(2);
 
+/// One daemon whose platform calls are answered by the test.
 struct One {
     daemon: Daemon,
     now: Timestamp,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Answers the open call that fits; says whether there was one.
+    /// Answers the first open call that `fits`. Returns whether there was one.
     fn answer(&mut self, fits: impl Fn(&PlatformCall) -> bool, result: PlatformResult) -> bool {
         let call = self.open.iter().find(|(_, request)| fits(request));
         let Some(call) = call.map(|(call, _)| *call) else {
@@ -86,6 +87,7 @@
         true
     }
 
+    /// Generation of the configuration in force.
     fn in_force(&self) -> u64 {
         self.daemon.state().fleet_version().generation
     }
@@ -167,7 +169,7 @@
     })
 }
 
-/// A daemon that knows configuration 28 and the host list of the first era.
+/// A daemon that knows the configuration of generation 28 and the host list of the first era.
 fn serving() -> One {
     let mut one = One::new();
     assert!(one.answer(
@@ -182,12 +184,13 @@
 #[test]
 fn a_watch_that_is_answered_across_eras_lists_anew() {
     let mut one = serving();
-    // The counter has passed 314 again: what was written below it would be missed.
+    // The revision has passed 314 again in the new era. Writes of the new era up to 314 would be
+    // missed if this reply were applied.
     assert!(one.answer(
         watches_configuration,
         configuration(Version::new(SECOND, 320), 30)
     ));
-    assert_eq!(one.in_force(), 28, "taken from a list only");
+    assert_eq!(one.in_force(), 28, "a watch across eras is not applied");
     assert!(one.answer(
         lists_configuration,
         configuration(Version::new(SECOND, 320), 30)
@@ -207,7 +210,7 @@
     assert!(one.answer(watches_hosts, Err(NoAnswer)));
     assert!(
         one.open.values().any(lists_hosts),
-        "at once, not after a pause"
+        "listed at once, not after the retry delay"
     );
     let line = one
         .logs
@@ -314,5 +317,8 @@
         Ok(PlatformReply::Written(Version::new(SECOND, 6)))
     ));
     assert!(one.daemon.lease().held(one.now).is_none());
-    assert!(one.open.values().any(reads_lease), "it is read first");
+    assert!(
+        one.open.values().any(reads_lease),
+        "the lease is read before it is written again"
+    );
 }
