--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -59,7 +59,7 @@
         CORE + "lease.rs",
         "if lapsed || lease.value.released && is_unheld_for_sure {",
         "if lapsed || lease.value.released {",
-        "store_era", "given_back",
+        "store_era", "lease_released",
     ),
     "a-lease-missing-in-a-copy-waits": (
         CORE + "lease.rs",
@@ -83,7 +83,7 @@
         CORE + "earlier_hosts.rs",
         "            self.listed.remove(host);\n",
         "",
-        "store_era", "reported_anew",
+        "store_era", "reported_in_the_new_era",
     ),
     "claims-are-written-again": (
         CORE + "claims.rs",
@@ -458,13 +458,13 @@
         CORE + "daemon/relays.rs",
         "if !self.is_own_host_feed_fresh(now) && self.peer_hosts_answered_at > answered_at {",
         "if false && self.peer_hosts_answered_at > answered_at {",
-        "relays", "turns_away",
+        "relays", "refused_by_the_platform",
     ),
     "ages-add-up": (
         CORE + "daemon/peers.rs",
         "hosts_ms_ago: hosts_answered_at.map(|at| now.millis_since(at)),",
         "hosts_ms_ago: hosts_answered_at.map(|_| 0),",
-        "relays", "never_too_new",
+        "relays", "never_underestimated",
     ),
     "members-in-brief": (
         CORE + "membership.rs",
@@ -723,7 +723,7 @@
     "keys-confirmed": (
         CORE + "router/refusal.rs",
         "if is_out_of_date && meta.credential.is_some() {", "if false && is_out_of_date {",
-        "listed_routing", "a_key_counts",
+        "listed_routing", "a_key_is_valid",
         (CORE + "router/refusal.rs",
          "let needs_key = meta.credential.is_some();",
          "let needs_key = false && meta.credential.is_some();"),
@@ -731,7 +731,7 @@
     "key-taken-away": (
         CORE + "router/keys.rs",
         "self.answer(request, self.not_run(NotRunReason::KeyTakenAway), out);", "",
-        "listed_routing", "while_its_key_goes",
+        "listed_routing", "key_is_revoked",
     ),
     "paused-daemon": (
         CORE + "router/stalled.rs", "if was_paused {", "if false && was_paused {",
--- a/shalehinge/tests/configuration_spread.rs
+++ b/shalehinge/tests/configuration_spread.rs
@@ -6,7 +6,7 @@
 
 use relay_support::configuration::{fleet_config, with_keys};
 use relay_support::platform::json_bytes;
-use relay_support::{BytesIn, Fleet};
+use relay_support::{BytesReceived, Fleet};
 use shalehinge::core::types::FleetVersion;
 
 /// Bandwidth of a small entry host's link in bytes per second: 20 Mbit/s.
@@ -32,7 +32,7 @@
 /// link received 2.5 MB/s, its full 20 Mbit/s, for nine seconds, while the platform was healthy,
 /// the processor nearly idle, and ticks at most 6 ms late.
 #[test]
-fn a_daemon_that_is_behind_catches_up_though_its_link_is_busy() {
+fn a_daemon_that_is_behind_catches_up_over_a_busy_link() {
     let mut fleet = Fleet::new(DAEMONS);
     fleet.platform.open_groups(GROUPS);
     fleet.run(Duration::from_secs(10));
@@ -47,7 +47,10 @@
         set_link(&mut fleet, BUSY, SMALL_LINK / 5.0);
     }
     run_with_lost_replicas(&mut fleet, IN_FORCE_WITHIN - CHANGE_INTERVAL);
-    assert_eq!(fleet.without_configuration(last), Vec::<usize>::new());
+    assert_eq!(
+        fleet.daemons_without_configuration(last),
+        Vec::<usize>::new()
+    );
 }
 
 fn set_link(fleet: &mut Fleet, daemon: usize, bytes_per_second: f64) {
@@ -60,7 +63,7 @@
     const INTERVAL: Duration = Duration::from_millis(300);
     let end = fleet.now + span;
     while fleet.now < end {
-        fleet.streams_that_stand_still(BUSY, 4);
+        fleet.send_stalling_streams(BUSY, 4);
         fleet.run(INTERVAL.min(end - fleet.now));
     }
 }
@@ -68,7 +71,7 @@
 /// Guards against repeated transfers of the same configuration: in the same incident 0.3 GB
 /// crossed failure domains in 34 s.
 #[test]
-fn each_daemon_takes_in_a_configuration_about_once() {
+fn each_daemon_receives_a_configuration_about_once() {
     let mut fleet = Fleet::new(DAEMONS);
     fleet.run(Duration::from_secs(10));
     let config = with_keys(fleet_config(ROUTES), 8);
@@ -76,16 +79,19 @@
     let of_the_platform = json_bytes(&config) as f64;
     fleet.limit_links(SMALL_LINK);
     let version = fleet.platform.configure(config);
-    fleet.bytes_in.fill(BytesIn::default());
+    fleet.bytes_received.fill(BytesReceived::default());
     fleet.run(IN_FORCE_WITHIN);
-    assert_eq!(fleet.without_configuration(version), Vec::<usize>::new());
-    for (daemon, bytes) in fleet.bytes_in.iter().enumerate() {
-        let times = bytes.of_peers / of_a_peer;
+    assert_eq!(
+        fleet.daemons_without_configuration(version),
+        Vec::<usize>::new()
+    );
+    for (daemon, bytes) in fleet.bytes_received.iter().enumerate() {
+        let times = bytes.from_peers / of_a_peer;
         assert!(
             times < 2.0,
             "daemon {daemon} received {times:.1} configurations from peers"
         );
-        let times = bytes.of_platform / of_the_platform;
+        let times = bytes.from_platform / of_the_platform;
         assert!(
             times < 2.0,
             "daemon {daemon} read {times:.1} configurations from the platform"
@@ -103,17 +109,25 @@
         fleet.run(Duration::from_secs(10));
         fleet.limit_links(SMALL_LINK);
         let version = fleet.platform.configure(with_keys(fleet_config(routes), 8));
-        fleet.bytes_in.fill(BytesIn::default());
+        fleet.bytes_received.fill(BytesReceived::default());
         let began = fleet.now;
-        while !fleet.without_configuration(version).is_empty() {
+        while !fleet.daemons_without_configuration(version).is_empty() {
             fleet.run(Duration::from_millis(50));
             assert!(
                 fleet.now - began < Duration::from_secs(60),
                 "not in force at all daemons after 60 s"
             );
         }
-        let of_peers: f64 = fleet.bytes_in.iter().map(|bytes| bytes.of_peers).sum();
-        let of_platform: f64 = fleet.bytes_in.iter().map(|bytes| bytes.of_platform).sum();
+        let of_peers: f64 = fleet
+            .bytes_received
+            .iter()
+            .map(|bytes| bytes.from_peers)
+            .sum();
+        let of_platform: f64 = fleet
+            .bytes_received
+            .iter()
+            .map(|bytes| bytes.from_platform)
+            .sum();
         println!(
             "{daemons} daemons, {routes} routes: {:?}, {:.1} MB between daemons, \
              {:.1} MB from the platform",
--- a/shalehinge/tests/cooldowns.rs
+++ b/shalehinge/tests/cooldowns.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use relay_support::scene::{Scene, group};
-use relay_support::{Arrival, TurnedAway};
+use relay_support::{Arrival, RefusedAttempt};
 use shalehinge::core::router::request::Outcome;
 
 /// What the upstreams ask for.
@@ -17,12 +17,12 @@
 
 /// Most requests of one daemon to one upstream in the cooldown that it had asked it for.
 fn most_in_cooldown(scene: &Scene) -> usize {
-    let within = |turned: &TurnedAway, arrival: &&Arrival| {
+    let within = |turned: &RefusedAttempt, arrival: &&Arrival| {
         let is_same = (arrival.daemon, arrival.group) == (turned.daemon, turned.group);
         let from = turned.at + UNDER_WAY;
         is_same && arrival.at > from && arrival.at < turned.at + turned.cooldown
     };
-    let counts = scene.fleet.turned_away.iter().map(|turned| {
+    let counts = scene.fleet.refused_attempts.iter().map(|turned| {
         let arrivals = scene.fleet.arrivals.iter();
         arrivals.filter(|arrival| within(turned, arrival)).count()
     });
@@ -45,7 +45,7 @@
     scene.serve_seconds(8);
     let most = most_in_cooldown(&scene);
     assert!(most <= ALLOWED, "{most} requests, allowed {ALLOWED}");
-    assert!(!scene.fleet.turned_away.is_empty());
+    assert!(!scene.fleet.refused_attempts.is_empty());
 }
 
 #[test]
@@ -65,7 +65,7 @@
     scene.serve_seconds(1);
     scene.fleet.cooldowns.clear();
     scene.fleet.outcomes.clear();
-    let asked = scene.fleet.turned_away.iter();
+    let asked = scene.fleet.refused_attempts.iter();
     let ends = asked.map(|turned| turned.at + turned.cooldown).min();
     (scene, ends.expect("asked"))
 }
@@ -180,7 +180,7 @@
         cool(&mut scene, 0..cooling, COOLDOWN);
         scene.serve_seconds(9);
         let messages = scene.fleet.notices - notices;
-        let turned_away = scene.fleet.turned_away.len();
+        let turned_away = scene.fleet.refused_attempts.len();
         let (whole, all) = scene.served();
         let in_cooldown = most_in_cooldown(&scene);
         scene.fleet.cooldowns.clear();
--- a/shalehinge/tests/fleet_restart.rs
+++ b/shalehinge/tests/fleet_restart.rs
@@ -29,20 +29,20 @@
 
 /// Asserts that at least 99% of the live daemons can route after `MOST_ROUTE_WITHIN` from now, and
 /// all after `ALL_ROUTE_WITHIN`.
-fn all_route_in_time(fleet: &mut Fleet) {
+fn assert_all_route_in_time(fleet: &mut Fleet) {
     let daemons = fleet.daemons.len() - fleet.dead.len();
     fleet.run(MOST_ROUTE_WITHIN);
-    let late = fleet.cannot_route();
+    let late = fleet.daemons_that_cannot_route();
     assert!(late <= daemons / 100, "{late} of {daemons} cannot route");
     fleet.run(ALL_ROUTE_WITHIN - MOST_ROUTE_WITHIN);
-    assert_eq!(fleet.cannot_route(), 0);
+    assert_eq!(fleet.daemons_that_cannot_route(), 0);
 }
 
 #[test]
-fn a_fleet_that_starts_again_routes_within_seconds_and_few_daemons_read_the_list() {
+fn a_restarted_fleet_routes_within_seconds_and_few_daemons_read_the_host_list() {
     for daemons in [60, 300] {
         let mut fleet = restarted(daemons);
-        all_route_in_time(&mut fleet);
+        assert_all_route_in_time(&mut fleet);
         let lists = fleet.platform.lists;
         assert!(
             lists <= MOST_LISTS,
@@ -56,19 +56,19 @@
 }
 
 #[test]
-fn a_fleet_that_starts_while_the_platform_refuses_routes_within_seconds_of_its_return() {
+fn a_fleet_restarted_while_the_platform_refuses_calls_routes_within_seconds_of_its_return() {
     let mut fleet = restarted(120);
     fleet.refused = (0..120).collect();
     fleet.run(Duration::from_secs(3));
-    assert_eq!(fleet.cannot_route(), 120);
+    assert_eq!(fleet.daemons_that_cannot_route(), 120);
     fleet.refused.clear();
-    all_route_in_time(&mut fleet);
+    assert_all_route_in_time(&mut fleet);
 }
 
 #[test]
-fn a_fleet_that_loses_a_third_of_its_daemons_as_it_starts_routes_within_seconds() {
+fn a_restarting_fleet_that_loses_a_third_of_its_daemons_routes_within_seconds() {
     let mut fleet = restarted(120);
     fleet.run(Duration::from_millis(700));
     fleet.dead = (0..120).step_by(3).collect();
-    all_route_in_time(&mut fleet);
+    assert_all_route_in_time(&mut fleet);
 }
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_feed_lists_once_then_watches_from_there() {
+fn a_feed_lists_once_then_watches_from_that_revision() {
     let mut feed = Feed::new(Scope::Hosts);
     let list = exact_list();
     assert_eq!(feed.next_call(at(10), EXACT, WAIT), Some(list));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_answer_is_as_fresh_as_its_question() {
+fn a_reply_is_only_as_fresh_as_its_call() {
     let mut feed = Feed::new(Scope::Configuration);
     feed.next_call(at(10), EXACT, WAIT);
     feed.on_answer(at(900), &Ok(objects(7)), SPACING, PAUSE, None);
@@ -84,7 +84,7 @@
 
 /// A feed that listed revision 7 and whose watch was then answered by a stale reply of `revision`,
 /// while `confirmed` was the newest known confirmation.
-fn feed_with_stale_answer(revision: u64, confirmed: Confirmation) -> Feed {
+fn feed_with_stale_reply(revision: u64, confirmed: Confirmation) -> Feed {
     let mut feed = Feed::new(Scope::Hosts);
     feed.next_call(at(10), EXACT, WAIT);
     feed.on_answer(at(20), &Ok(objects(7)), SPACING, PAUSE, None);
@@ -102,14 +102,14 @@
 }
 
 #[test]
-fn a_stale_answer_proves_what_an_exact_one_confirmed() {
-    let feed = feed_with_stale_answer(9, confirmed(8, 1_700));
+fn a_stale_reply_proves_what_an_exact_reply_confirmed() {
+    let feed = feed_with_stale_reply(9, confirmed(8, 1_700));
     assert_eq!(feed.as_of(), Some(at(1_700)));
 }
 
 #[test]
-fn a_feed_that_lags_behind_asks_exactly_and_at_once() {
-    let mut feed = feed_with_stale_answer(8, confirmed(9, 1_700));
+fn a_feed_that_lags_behind_makes_an_exact_call_at_once() {
+    let mut feed = feed_with_stale_reply(8, confirmed(9, 1_700));
     assert_eq!(feed.as_of(), Some(at(10)), "the list was exact");
     let watch = PlatformCall::Watch {
         scope: Scope::Hosts,
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_change_after_the_question_is_no_lag() {
-    let mut feed = feed_with_stale_answer(8, confirmed(9, 2_100));
+fn a_change_after_the_call_is_not_a_lag() {
+    let mut feed = feed_with_stale_reply(8, confirmed(9, 2_100));
     let watch = PlatformCall::Watch {
         scope: Scope::Hosts,
         after: Version::without_era(8),
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn an_older_stale_answer_takes_nothing_back() {
-    let mut feed = feed_with_stale_answer(5, confirmed(4, 1_000));
+fn an_older_stale_reply_does_not_move_a_feed_back() {
+    let mut feed = feed_with_stale_reply(5, confirmed(4, 1_000));
     let watch = PlatformCall::Watch {
         scope: Scope::Hosts,
         after: Version::without_era(7),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn forgotten_history_is_listed_again() {
+fn a_feed_lists_again_when_history_is_discarded() {
     let mut feed = Feed::new(Scope::Hosts);
     feed.next_call(at(10), EXACT, WAIT);
     feed.on_answer(at(20), &Ok(objects(7)), SPACING, PAUSE, None);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn changes_of_the_host_list_are_laid_over_it_and_never_take_it_back() {
+fn host_changes_are_applied_to_the_list_and_older_ones_are_ignored() {
     let (a, b) = (HostId::new("a"), HostId::new("b"));
     let mut state = FleetState::default();
     let change = |version, changed: &HostId, removed: Option<&HostId>| {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_key_is_needed_unless_the_route_is_anonymous_and_its_rank_goes_first() {
+fn a_key_is_required_unless_the_route_is_anonymous_and_its_rank_takes_precedence() {
     let mut open = route("h", "/open/", "s");
     open.is_anonymous = true;
     let table = RouteTable::new(
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn services_get_requests_by_their_weights() {
+fn services_receive_requests_by_weight() {
     let mut split = route("h", "/a/", "x");
     split.backends = vec![
         WeightedService {
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn hosts_follow_the_shares_and_the_rest_goes_to_small_replicas() {
+fn replicas_follow_the_shares_and_remaining_hosts_go_to_small_replicas() {
     let (large, small) = (ModelName::new("large"), ModelName::new("small"));
     let profiles = BTreeMap::from([
         (large.clone(), profile(4, 0.67)),
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -202,7 +202,7 @@
     }
     for _ in 0..12 {
         for daemon in [0, 4, 8] {
-            scene.fleet.whole_stream(daemon);
+            scene.fleet.send_completing_stream(daemon);
         }
         scene.serve_seconds(2);
     }
@@ -238,10 +238,10 @@
     let mut scene = Scene::small();
     scene.limit(0, 1.0);
     scene.serve_seconds(5);
-    scene.fleet.cut_off.extend([0, 3, 6]);
+    scene.fleet.partitioned.extend([0, 3, 6]);
     let since = scene.fleet.now + IN_CONTACT;
     scene.serve_seconds(12);
-    let cut = scene.fleet.cut_off.clone();
+    let cut = scene.fleet.partitioned.clone();
     let arrivals = std::mem::take(&mut scene.fleet.arrivals);
     let (one, other): (Vec<_>, Vec<_>) =
         arrivals.into_iter().partition(|a| cut.contains(&a.daemon));
@@ -250,7 +250,7 @@
         assert_holds(&scene, 0, 1.0, since);
     }
     scene.fleet.arrivals.clear();
-    scene.fleet.cut_off.clear();
+    scene.fleet.partitioned.clear();
     scene.serve_seconds(4);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
@@ -273,7 +273,7 @@
 fn few_requests_come_late_and_no_more_than_a_limit_is_sent_at_once() {
     let mut scene = Scene::new(9, 1, usize::MAX);
     scene.limit(0, 5.0);
-    scene.fleet.whole_stream(0);
+    scene.fleet.send_completing_stream(0);
     scene.serve_seconds(50);
     scene.every = 1;
     let since = scene.fleet.now;
--- a/shalehinge/tests/listed_routing.rs
+++ b/shalehinge/tests/listed_routing.rs
@@ -69,7 +69,7 @@
     }
 }
 
-fn keyed() -> RequestMeta {
+fn stream_with_key() -> RequestMeta {
     RequestMeta {
         credential: Some("a-hash".into()),
         ..stream()
@@ -108,7 +108,7 @@
         };
         let mut out = Vec::new();
         self.router.lose(self.now, replica, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle_actions(out);
     }
 
     fn submit(&mut self, request: u64, meta: RequestMeta) {
@@ -120,7 +120,7 @@
         };
         self.router
             .submit(self.now, id, meta, 1, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle_actions(out);
     }
 
     fn advance(&mut self, time: Duration) {
@@ -129,7 +129,7 @@
             self.now = self.now + Duration::from_millis(50);
             let mut out = Vec::new();
             self.router.tick(self.now, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle_actions(out);
         }
     }
 
@@ -159,10 +159,10 @@
         let id = RequestId(request);
         self.router
             .on_ended(self.now, id, attempt, end, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle_actions(out);
     }
 
-    fn take(&mut self, out: Vec<RouterAction>) {
+    fn handle_actions(&mut self, out: Vec<RouterAction>) {
         for action in out {
             match action {
                 RouterAction::Send(attempt) => {
@@ -184,7 +184,7 @@
                         &mut self.rng,
                         &mut out,
                     );
-                    self.take(out);
+                    self.handle_actions(out);
                 }
                 RouterAction::AskTrial(_)
                 | RouterAction::TellLimit(_)
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_stream_leaves_a_replica_that_stands_still_and_goes_on_elsewhere() {
+fn a_stream_moves_away_from_a_stalled_replica() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, stream());
     let first = harness.last(1).upstream;
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn output_of_any_stream_shows_that_a_replica_moves() {
+fn output_of_any_stream_shows_that_a_replica_makes_progress() {
     let mut harness = Harness::with_replicas(1);
     harness.submit(1, stream());
     harness.submit(2, stream());
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_daemon_that_was_paused_does_not_take_all_replicas_for_still() {
+fn a_daemon_that_was_paused_does_not_treat_all_replicas_as_stalled() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, stream());
     harness.output(1);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_replica_that_stands_still_is_told_to_whoever_holds_its_failure_domain() {
+fn a_stalled_replica_is_a_suspect_to_report_to_the_lease_holder() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, stream());
     harness.output(1);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_holder_is_told_of_a_standstill_before_requests_are_moved() {
+fn a_stalled_replica_becomes_a_suspect_before_requests_are_moved() {
     let settings = RouterSettings {
         suspect_after: Duration::from_millis(200),
         ..RouterSettings::default()
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_replica_that_lost_a_member_gets_nothing_more_and_its_streams_move_at_once() {
+fn a_replica_that_lost_a_member_gets_no_more_requests_and_its_streams_move_at_once() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, stream());
     harness.output(1);
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn refusals_are_no_runs_and_may_go_on() {
+fn refused_attempts_do_not_count_against_the_attempt_limit() {
     let mut harness = Harness::with_replicas(4);
     harness.submit(1, stream());
     harness.end(1, AttemptEnd::Refused);
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_stream_that_was_seen_and_then_refused_elsewhere_is_not_called_not_run() {
+fn a_stream_with_output_that_finds_no_other_upstream_is_not_reported_as_not_run() {
     let mut harness = Harness::with_replicas(1);
     harness.submit(1, stream());
     harness.output(1);
@@ -319,18 +319,18 @@
 }
 
 #[test]
-fn a_key_counts_only_as_long_as_the_configuration_is_confirmed() {
+fn a_key_is_valid_only_while_the_configuration_is_confirmed() {
     let mut harness = Harness::with_replicas(1);
     let until = harness.now + Duration::from_secs(1);
     harness.router.set_keys_until(Some(until));
-    harness.submit(1, keyed());
+    harness.submit(1, stream_with_key());
     assert_eq!(
         harness.last(1).valid_until,
         until,
         "the attempt must not be sent later"
     );
     harness.now = until;
-    harness.submit(2, keyed());
+    harness.submit(2, stream_with_key());
     assert!(matches!(
         harness.answers[&2],
         Outcome::NotRun {
@@ -347,10 +347,10 @@
 }
 
 #[test]
-fn a_request_that_waits_while_its_key_goes_never_runs() {
+fn a_queued_request_whose_key_is_revoked_never_runs() {
     let mut harness = Harness::with_replicas(1);
     for request in 1..=60 {
-        harness.submit(request, keyed());
+        harness.submit(request, stream_with_key());
     }
     let waiting = (1..=60)
         .filter(|request| harness.attempts(*request) == 0 && !harness.answers.contains_key(request))
@@ -358,7 +358,7 @@
     assert!(!waiting.is_empty());
     let mut out = Vec::new();
     harness.router.recheck_keys(|_| false, &mut out);
-    harness.take(out);
+    harness.handle_actions(out);
     for request in waiting {
         assert!(matches!(
             harness.answers[&request],
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn estimates_from_bad_times_keep_nothing_out_that_could_correct_them() {
+fn estimates_from_a_slow_period_do_not_refuse_requests_that_could_correct_them() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, stream());
     harness.output(1);
@@ -381,16 +381,16 @@
         harness.progress(1);
     }
     harness.end(1, AttemptEnd::Completed { output_tokens: 2 });
-    let hasty = RequestMeta {
+    let urgent = RequestMeta {
         deadline: harness.now + Duration::from_secs(8),
         ..stream()
     };
-    harness.submit(2, hasty);
+    harness.submit(2, urgent);
     assert_eq!(harness.attempts(2), 1);
 }
 
 #[test]
-fn equal_upstreams_get_equal_work() {
+fn equal_upstreams_get_similar_numbers_of_requests() {
     let mut harness = Harness::with_replicas(4);
     for request in 0..400 {
         harness.submit(request, stream());
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn a_shared_burst_is_divided_and_a_new_daemon_has_saved_up_little() {
+fn a_shared_retry_burst_is_divided_and_a_new_daemon_starts_with_few_retries() {
     let settings = RouterSettings {
         retry_burst: 90.0,
         retry_burst_is_shared: true,
@@ -421,11 +421,11 @@
         .router
         .set_topology(Topology::from([(target(), specs)]));
     harness.router.set_sharers(9);
-    let endless = RequestMeta {
+    let without_attempt_limit = RequestMeta {
         max_attempts: None,
         ..stream()
     };
-    harness.submit(1, endless);
+    harness.submit(1, without_attempt_limit);
     while !harness.answers.contains_key(&1) {
         harness.end(1, AttemptEnd::Refused);
         harness.advance(Duration::from_millis(50));
@@ -437,7 +437,7 @@
 }
 
 /// A stream whose first output should come within 300 ms.
-fn stream_with_aim() -> RequestMeta {
+fn stream_with_latency_target() -> RequestMeta {
     RequestMeta {
         first_output_within: Some(Duration::from_millis(300)),
         ..stream()
@@ -445,14 +445,14 @@
 }
 
 /// One replica with room for one request, which has answered one request after 100 ms.
-fn one_place() -> Harness {
+fn harness_with_one_slot() -> Harness {
     let settings = RouterSettings {
         engine_backlog: 0.0,
         uneven_share: 0.125,
         ..RouterSettings::default()
     };
     let mut harness = Harness::with_settings(1, settings);
-    harness.submit(1, stream_with_aim());
+    harness.submit(1, stream_with_latency_target());
     harness.advance(Duration::from_millis(100));
     harness.output(1);
     harness.end(1, AttemptEnd::Completed { output_tokens: 5 });
@@ -460,12 +460,12 @@
 }
 
 #[test]
-fn a_request_that_can_still_be_on_time_goes_before_one_that_is_late() {
-    let mut harness = one_place();
-    harness.submit(2, stream_with_aim());
-    harness.submit(3, stream_with_aim());
+fn a_request_that_can_still_be_on_time_is_sent_before_one_that_is_late() {
+    let mut harness = harness_with_one_slot();
+    harness.submit(2, stream_with_latency_target());
+    harness.submit(3, stream_with_latency_target());
     harness.advance(Duration::from_millis(400));
-    harness.submit(4, stream_with_aim());
+    harness.submit(4, stream_with_latency_target());
     harness.end(2, AttemptEnd::Completed { output_tokens: 5 });
     assert!(harness.sent.contains_key(&4), "can still be on time");
     assert!(!harness.sent.contains_key(&3), "already late");
@@ -477,10 +477,10 @@
 }
 
 #[test]
-fn a_late_request_that_finds_no_room_is_refused_well_before_its_deadline() {
-    let mut harness = one_place();
-    harness.submit(2, stream_with_aim());
-    harness.submit(3, stream_with_aim());
+fn a_late_request_without_capacity_is_refused_well_before_its_deadline() {
+    let mut harness = harness_with_one_slot();
+    harness.submit(2, stream_with_latency_target());
+    harness.submit(3, stream_with_latency_target());
     harness.advance(Duration::from_millis(2_600));
     let refused = harness.answers.get(&3);
     assert!(
--- a/shalehinge/tests/quarantine.rs
+++ b/shalehinge/tests/quarantine.rs
@@ -189,7 +189,7 @@
 fn a_request_that_comes_to_one_daemon_after_the_other_crashes_few_upstreams() {
     let mut fleet = fleet(90);
     for index in 0..90 {
-        fleet.crashing_stream(index);
+        fleet.send_crashing_stream(index);
         fleet.run(Duration::from_millis(100));
     }
     assert!(fleet.crashes >= 2, "it was sent");
@@ -200,17 +200,17 @@
 fn a_daemon_that_missed_the_news_is_told_by_the_peers_that_it_asks() {
     let mut fleet = fleet(9);
     fleet.dead.insert(8);
-    fleet.crashing_stream(0);
-    fleet.crashing_stream(1);
+    fleet.send_crashing_stream(0);
+    fleet.send_crashing_stream(1);
     fleet.run(Duration::from_secs(2));
     // The trial that proves it.
-    fleet.crashing_stream(2);
+    fleet.send_crashing_stream(2);
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.crashes, 3, "it was tried");
     fleet.dead.remove(&8);
     fleet.run(Duration::from_secs(3));
     let crashes = fleet.crashes;
-    fleet.crashing_stream(8);
+    fleet.send_crashing_stream(8);
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.crashes, crashes);
 }
@@ -218,8 +218,8 @@
 #[test]
 fn what_daemons_tell_each_other_on_and_on_makes_no_quarantine_last_longer() {
     let mut fleet = fleet(3);
-    fleet.crashing_stream(0);
-    fleet.crashing_stream(1);
+    fleet.send_crashing_stream(0);
+    fleet.send_crashing_stream(1);
     fleet.run(Duration::from_secs(5));
     let held = |fleet: &Fleet| {
         let now = Timestamp::from_duration(fleet.now);
@@ -234,12 +234,12 @@
 #[test]
 fn a_suspect_is_tried_by_one_daemon_at_a_time() {
     let mut fleet = fleet(90);
-    fleet.crashing_stream(0);
-    fleet.crashing_stream(1);
+    fleet.send_crashing_stream(0);
+    fleet.send_crashing_stream(1);
     fleet.run(Duration::from_secs(2));
     assert_eq!(fleet.crashes, 2);
     for index in 0..90 {
-        fleet.crashing_stream(index);
+        fleet.send_crashing_stream(index);
     }
     fleet.run(Duration::from_secs(3));
     assert_eq!(fleet.crashes, 3, "90 daemons had it at once");
@@ -248,16 +248,16 @@
 #[test]
 fn a_request_that_was_tried_and_answered_is_served_everywhere_at_once() {
     let mut fleet = fleet(9);
-    fleet.crashing_stream(0);
-    fleet.crashing_stream(1);
+    fleet.send_crashing_stream(0);
+    fleet.send_crashing_stream(1);
     fleet.run(Duration::from_secs(2));
     // What asks the same, and does not crash any more.
-    fleet.same_stream_that_ends_whole(2);
+    fleet.send_crashing_stream_that_completes(2);
     fleet.run(Duration::from_secs(1));
     let sent = fleet.arrivals.len();
     assert_eq!(sent, 1, "its trial");
     for index in 0..9 {
-        fleet.same_stream_that_ends_whole(index);
+        fleet.send_crashing_stream_that_completes(index);
     }
     fleet.run(Duration::from_secs(1));
     assert_eq!(fleet.arrivals.len(), sent + 9);
--- a/shalehinge/tests/quarantine_harmless.rs
+++ b/shalehinge/tests/quarantine_harmless.rs
@@ -83,7 +83,7 @@
         fleet.platform.open_groups(60);
         fleet.run(Duration::from_secs(10));
         for index in 0..9 {
-            fleet.crashing_stream(index);
+            fleet.send_crashing_stream(index);
             fleet.run(Duration::from_millis(300));
         }
         crashes += fleet.crashes;
--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -24,7 +24,7 @@
 use shalehinge::utils::http::LARGE_ANSWER_TIMEOUT;
 
 use self::platform::{Platform, platform_bytes};
-pub use self::upstreams::{Arrival, TurnedAway};
+pub use self::upstreams::{Arrival, RefusedAttempt};
 
 /// Number of failure domains, over which the daemons are distributed evenly.
 const DOMAINS: u16 = 3;
@@ -70,11 +70,11 @@
 
 /// Bytes of replies that a daemon received, by their sender.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BytesIn {
+pub struct BytesReceived {
     /// From peers.
-    pub of_peers: f64,
+    pub from_peers: f64,
     /// From the platform.
-    pub of_platform: f64,
+    pub from_platform: f64,
 }
 
 /// A simulated fleet. Daemons are identified by their index.
@@ -93,7 +93,7 @@
     /// at once.
     pub links: Option<Vec<f64>>,
     /// Bytes of replies received by each daemon, including replies that timed out.
-    pub bytes_in: Vec<BytesIn>,
+    pub bytes_received: Vec<BytesReceived>,
     transfers: Vec<Transfer>,
     events: BTreeMap<(Duration, u64), (usize, Event)>,
     next_event: u64,
@@ -104,17 +104,17 @@
     /// Cooldowns that the upstreams of groups ask for while they refuse all requests.
     pub cooldowns: BTreeMap<GroupNumber, Duration>,
     /// Attempts refused with a cooldown.
-    pub turned_away: Vec<TurnedAway>,
+    pub refused_attempts: Vec<RefusedAttempt>,
     /// Groups whose upstreams mark each response as coming from a leaving upstream.
     pub leaving: BTreeSet<GroupNumber>,
     /// Requests that complete and have not been answered yet.
-    finishing: BTreeSet<RequestId>,
+    completing: BTreeSet<RequestId>,
     /// Attempts of requests that complete, in the order in which they reached an upstream.
     pub arrivals: Vec<Arrival>,
     /// Outcomes of requests that complete.
     pub outcomes: Vec<Outcome>,
     /// Daemons that exchange no messages with the daemons outside this set.
-    pub cut_off: BTreeSet<usize>,
+    pub partitioned: BTreeSet<usize>,
     /// Number of notices sent.
     pub notices: usize,
     /// Requests that crash the upstream that runs them.
@@ -151,7 +151,7 @@
             dead: BTreeSet::new(),
             refused: BTreeSet::new(),
             links: None,
-            bytes_in: vec![BytesIn::default(); usize::from(daemons)],
+            bytes_received: vec![BytesReceived::default(); usize::from(daemons)],
             transfers: Vec::new(),
             events: BTreeMap::new(),
             next_event: 0,
@@ -159,12 +159,12 @@
             calls: Vec::new(),
             limits: BTreeMap::new(),
             cooldowns: BTreeMap::new(),
-            turned_away: Vec::new(),
+            refused_attempts: Vec::new(),
             leaving: BTreeSet::new(),
-            finishing: BTreeSet::new(),
+            completing: BTreeSet::new(),
             arrivals: Vec::new(),
             outcomes: Vec::new(),
-            cut_off: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             notices: 0,
             crashing: BTreeSet::new(),
             crashes: 0,
@@ -172,7 +172,7 @@
     }
 
     /// Delivers an event to a daemon after a delay.
-    fn later(&mut self, after: Duration, daemon: usize, event: Event) {
+    fn schedule(&mut self, after: Duration, daemon: usize, event: Event) {
         self.next_event += 1;
         self.events
             .insert((self.now + after, self.next_event), (daemon, event));
@@ -225,13 +225,13 @@
             let whole = Event::Platform { call, result };
             let result = Err(NoAnswer);
             let lost = Event::Platform { call, result };
-            self.begin(None, daemon, bytes, gives_up_at, (whole, lost));
+            self.begin_transfer(None, daemon, bytes, gives_up_at, (whole, lost));
         }
     }
 
     /// Starts the transfer of a reply, or delivers it at once if links are unlimited. `events` are
     /// those for a complete reply and for a time-out.
-    fn begin(
+    fn begin_transfer(
         &mut self,
         from: Option<usize>,
         to: usize,
@@ -240,7 +240,7 @@
         events: (Event, Event),
     ) {
         if self.links.is_none() {
-            self.later(Duration::ZERO, to, events.0);
+            self.schedule(Duration::ZERO, to, events.0);
             return;
         }
         self.transfers.push(Transfer {
@@ -280,10 +280,10 @@
             }
             let moved = (rate * TICK.as_secs_f64()).min(transfer.bytes_left);
             transfer.bytes_left -= moved;
-            let bytes_in = &mut self.bytes_in[transfer.to];
+            let bytes_received = &mut self.bytes_received[transfer.to];
             match transfer.from {
-                Some(_) => bytes_in.of_peers += moved,
-                None => bytes_in.of_platform += moved,
+                Some(_) => bytes_received.from_peers += moved,
+                None => bytes_received.from_platform += moved,
             }
         }
         for mut transfer in std::mem::take(&mut self.transfers) {
@@ -293,7 +293,7 @@
                 && let Some((whole, given_up)) = transfer.events.take()
             {
                 let event = if is_whole { whole } else { given_up };
-                self.later(Duration::ZERO, transfer.to, event);
+                self.schedule(Duration::ZERO, transfer.to, event);
             }
             // A reply that timed out still uses bandwidth until it is transferred.
             if !is_whole {
@@ -306,14 +306,14 @@
         let (to, asked_at, pull) = self.pulls.remove(&pull_id).expect("asked");
         let bytes = rmp_serde::to_vec(&reply).expect("encodes").len();
         let gives_up_at = asked_at.as_duration() + peer_timeout(&pull);
-        let whole = answered(asked_at, &pull, Some(reply));
-        let lost = answered(asked_at, &pull, None);
-        self.begin(Some(from), to, bytes, gives_up_at, (whole, lost));
+        let whole = pull_answered(asked_at, &pull, Some(reply));
+        let lost = pull_answered(asked_at, &pull, None);
+        self.begin_transfer(Some(from), to, bytes, gives_up_at, (whole, lost));
     }
 
     /// Whether two daemons can't exchange messages.
-    fn is_cut(&self, one: usize, other: usize) -> bool {
-        self.cut_off.contains(&one) != self.cut_off.contains(&other)
+    fn is_partitioned(&self, one: usize, other: usize) -> bool {
+        self.partitioned.contains(&one) != self.partitioned.contains(&other)
     }
 
     fn handle(&mut self, index: usize, event: Event) {
@@ -324,18 +324,18 @@
         let mut actions = Vec::new();
         self.daemons[index].handle(now, event, &mut actions);
         for action in actions {
-            self.act(index, now, action);
+            self.perform(index, now, action);
         }
     }
 
     /// Carries out an action of a daemon.
-    fn act(&mut self, index: usize, now: Timestamp, action: Action) {
+    fn perform(&mut self, index: usize, now: Timestamp, action: Action) {
         match action {
             Action::Platform { call, request } => {
                 if self.refused.contains(&index) || self.platform.refuses(&request) {
                     self.platform.calls += 1;
                     let result = Err(NoAnswer);
-                    self.later(TICK, index, Event::Platform { call, result });
+                    self.schedule(TICK, index, Event::Platform { call, result });
                     return;
                 }
                 self.calls.push(Call {
@@ -347,32 +347,32 @@
             }
             Action::Pull { to, pull } => {
                 let peer = to.port() as usize;
-                let is_cut = self.is_cut(index, peer);
-                if is_cut || self.dead.contains(&peer) {
-                    let event = answered(now, &pull, None);
-                    self.later(peer_timeout(&pull), index, event);
+                let is_partitioned = self.is_partitioned(index, peer);
+                if is_partitioned || self.dead.contains(&peer) {
+                    let event = pull_answered(now, &pull, None);
+                    self.schedule(peer_timeout(&pull), index, event);
                     return;
                 }
                 self.next_event += 1;
                 let pull_id = PullId(self.next_event);
                 self.pulls.insert(pull_id, (index, now, pull.clone()));
-                self.later(Duration::ZERO, peer, Event::PullAsked { pull_id, pull });
+                self.schedule(Duration::ZERO, peer, Event::PullAsked { pull_id, pull });
             }
             Action::AnswerPull { pull_id, reply } => self.answer_pull(index, pull_id, reply),
             Action::Send(attempt) => self.run_attempt(index, &attempt),
             Action::CheckUpstream { upstream, .. } => {
                 let is_gone = true;
                 let event = Event::UpstreamChecked { upstream, is_gone };
-                self.later(Duration::ZERO, index, event);
+                self.schedule(Duration::ZERO, index, event);
             }
             Action::Notify { to, notice } => {
                 let peer = to.port() as usize;
                 self.notices += 1;
-                if !self.is_cut(index, peer) {
-                    self.later(TICK, peer, Event::Noticed(notice));
+                if !self.is_partitioned(index, peer) {
+                    self.schedule(TICK, peer, Event::Noticed(notice));
                 }
             }
-            Action::Answer { request, outcome } if self.finishing.remove(&request) => {
+            Action::Answer { request, outcome } if self.completing.remove(&request) => {
                 self.outcomes.push(outcome);
             }
             _ => {}
@@ -383,7 +383,7 @@
     pub fn restore_platform(&mut self, away: Duration) {
         for Call { daemon, call, .. } in std::mem::take(&mut self.calls) {
             let result = Err(NoAnswer);
-            self.later(TICK, daemon, Event::Platform { call, result });
+            self.schedule(TICK, daemon, Event::Platform { call, result });
         }
         let refused = self.refused.clone();
         self.refused = (0..self.daemons.len()).collect();
@@ -393,7 +393,7 @@
     }
 
     /// Live daemons that don't know the platform's newest host list.
-    pub fn behind(&self) -> Vec<usize> {
+    pub fn daemons_behind(&self) -> Vec<usize> {
         let newest = self.platform.hosts_version();
         let is_behind = |index: &usize| {
             !self.dead.contains(index)
@@ -403,7 +403,7 @@
     }
 
     /// Number of live daemons that can't route, as they lack a configuration or a host list.
-    pub fn cannot_route(&self) -> usize {
+    pub fn daemons_that_cannot_route(&self) -> usize {
         let lacks = |index: &usize| {
             let state = self.daemons[*index].state();
             state.fleet().is_none() || state.hosts().is_none()
@@ -413,7 +413,7 @@
     }
 
     /// Daemons that have an older configuration than `version` in force.
-    pub fn without_configuration(&self, version: FleetVersion) -> Vec<usize> {
+    pub fn daemons_without_configuration(&self, version: FleetVersion) -> Vec<usize> {
         let is_behind = |index: &usize| self.daemons[*index].state().fleet_version() < version;
         (0..self.daemons.len()).filter(is_behind).collect()
     }
@@ -438,7 +438,7 @@
 }
 
 /// The event of a pull's reply, or of its time-out if `reply` is `None`.
-fn answered(asked_at: Timestamp, pull: &Pull, reply: Option<PullReply>) -> Event {
+fn pull_answered(asked_at: Timestamp, pull: &Pull, reply: Option<PullReply>) -> Event {
     Event::PullAnswered {
         topic: pull.topic,
         asked_at,
--- a/shalehinge/tests/relay_support/platform.rs
+++ b/shalehinge/tests/relay_support/platform.rs
@@ -95,7 +95,7 @@
 }
 
 /// Round-trip time of one page of a list.
-const PAGE_TIME: Duration = Duration::from_millis(10);
+const PAGE_ROUND_TRIP: Duration = Duration::from_millis(10);
 
 impl Platform {
     /// A platform with a configuration and `HOSTS` live hosts.
@@ -231,7 +231,7 @@
             PlatformCall::List {
                 scope: Scope::Hosts,
                 ..
-            } => TICK.max(PAGE_TIME * self.pages),
+            } => TICK.max(PAGE_ROUND_TRIP * self.pages),
             _ => TICK,
         }
     }
--- a/shalehinge/tests/relay_support/scene.rs
+++ b/shalehinge/tests/relay_support/scene.rs
@@ -10,7 +10,7 @@
 /// Number of the first group that the simulated platform lists.
 const FIRST_GROUP: u64 = 100;
 /// Time between two rounds of requests.
-const ROUND: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The number of the group at this index.
 pub fn group(index: u64) -> GroupNumber {
@@ -53,10 +53,10 @@
             for index in 0..self.fleet.daemons.len() {
                 let is_due = (self.round + index).is_multiple_of(self.every);
                 if is_due && !self.fleet.dead.contains(&index) {
-                    self.fleet.whole_stream(index);
+                    self.fleet.send_completing_stream(index);
                 }
             }
-            self.fleet.run(ROUND);
+            self.fleet.run(ROUND_INTERVAL);
         }
     }
 
--- a/shalehinge/tests/relay_support/upstreams.rs
+++ b/shalehinge/tests/relay_support/upstreams.rs
@@ -29,7 +29,7 @@
 
 /// An attempt that an upstream refused and answered with a cooldown.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnedAway {
+pub struct RefusedAttempt {
     /// When the daemon received the response.
     pub at: Duration,
     /// Index of the daemon that sent it.
@@ -45,7 +45,7 @@
 
 impl Fleet {
     /// Sends a daemon `count` streams, each of which stalls after its first output.
-    pub fn streams_that_stand_still(&mut self, index: usize, count: u64) {
+    pub fn send_stalling_streams(&mut self, index: usize, count: u64) {
         for _ in 0..count {
             self.next_event += 1;
             let request = RequestId(self.next_event);
@@ -55,10 +55,10 @@
     }
 
     /// Sends a daemon a stream that completes.
-    pub fn whole_stream(&mut self, index: usize) {
+    pub fn send_completing_stream(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
-        self.finishing.insert(request);
+        self.completing.insert(request);
         let meta = RequestMeta {
             fingerprint: Fingerprint(self.next_event),
             ..stream(Timestamp::from_duration(self.now + STREAM_DEADLINE))
@@ -66,19 +66,19 @@
         self.handle(index, Event::Request { request, meta });
     }
 
-    /// Sends a daemon the request of [`Self::crashing_stream`] again, which now completes.
-    pub fn same_stream_that_ends_whole(&mut self, index: usize) {
+    /// Sends a daemon the request of [`Self::send_crashing_stream`] again, which now completes.
+    pub fn send_crashing_stream_that_completes(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
-        self.finishing.insert(request);
+        self.completing.insert(request);
         let meta = stream(Timestamp::from_duration(self.now + STREAM_DEADLINE));
         self.handle(index, Event::Request { request, meta });
     }
 
     /// Runs an attempt on its upstream.
     pub(super) fn run_attempt(&mut self, index: usize, sent: &Attempt) {
-        if self.finishing.contains(&sent.request) {
-            self.run_whole(index, sent);
+        if self.completing.contains(&sent.request) {
+            self.run_completing_attempt(index, sent);
             return;
         }
         let (request, attempt) = (sent.request, sent.id);
@@ -90,15 +90,15 @@
                 attempt,
                 end,
             };
-            self.later(TICK, index, event);
+            self.schedule(TICK, index, event);
             return;
         }
-        self.later(TICK, index, Event::Output { request, attempt });
+        self.schedule(TICK, index, Event::Output { request, attempt });
     }
 
     /// Runs an attempt that completes, with the upstream's limit and leaving mark in the head of
     /// the response, unless the group refuses it with a cooldown.
-    fn run_whole(&mut self, index: usize, sent: &Attempt) {
+    fn run_completing_attempt(&mut self, index: usize, sent: &Attempt) {
         let (request, attempt) = (sent.request, sent.id);
         let Some(group) = sent.group else {
             return;
@@ -107,14 +107,14 @@
         let at = self.now;
         self.arrivals.push(Arrival { at, daemon, group });
         if let Some(cooldown) = self.cooldowns.get(&group).copied() {
-            self.turn_away(index, sent, group, cooldown);
+            self.refuse_attempt(index, sent, group, cooldown);
             return;
         }
         let limit = self.limits.get(&group).copied();
         let limit = limit.map_or(NamedLimit::None, NamedLimit::Rate);
         let signal = UpstreamSignal {
             limit,
-            leaving: self.mark_of(group),
+            leaving: self.leaving_mark(group),
             ..UpstreamSignal::silent(200)
         };
         let named = Event::Signal {
@@ -122,19 +122,19 @@
             attempt,
             signal,
         };
-        self.later(TICK, index, named);
-        self.later(TICK, index, Event::Output { request, attempt });
+        self.schedule(TICK, index, named);
+        self.schedule(TICK, index, Event::Output { request, attempt });
         let end = AttemptEnd::Completed { output_tokens: 20 };
         let ended = Event::Ended {
             request,
             attempt,
             end,
         };
-        self.later(RUN_TIME, index, ended);
+        self.schedule(RUN_TIME, index, ended);
     }
 
     /// The leaving mark in the responses of a group's upstreams.
-    fn mark_of(&self, group: GroupNumber) -> LeavingMark {
+    fn leaving_mark(&self, group: GroupNumber) -> LeavingMark {
         if self.leaving.contains(&group) {
             LeavingMark::Leaving
         } else {
@@ -143,9 +143,15 @@
     }
 
     /// Refuses an attempt without running it, and asks for a cooldown.
-    fn turn_away(&mut self, daemon: usize, sent: &Attempt, group: GroupNumber, cooldown: Duration) {
+    fn refuse_attempt(
+        &mut self,
+        daemon: usize,
+        sent: &Attempt,
+        group: GroupNumber,
+        cooldown: Duration,
+    ) {
         let (request, attempt) = (sent.request, sent.id);
-        self.turned_away.push(TurnedAway {
+        self.refused_attempts.push(RefusedAttempt {
             at: self.now + TICK,
             daemon,
             group,
@@ -153,7 +159,7 @@
         });
         let signal = UpstreamSignal {
             cooldown: RequestedCooldown::For(cooldown),
-            leaving: self.mark_of(group),
+            leaving: self.leaving_mark(group),
             ..UpstreamSignal::silent(503)
         };
         let head = Event::Signal {
@@ -161,17 +167,17 @@
             attempt,
             signal,
         };
-        self.later(TICK, daemon, head);
+        self.schedule(TICK, daemon, head);
         let ended = Event::Ended {
             request,
             attempt,
             end: AttemptEnd::Refused,
         };
-        self.later(TICK, daemon, ended);
+        self.schedule(TICK, daemon, ended);
     }
 
     /// Sends a daemon the request that crashes each upstream that runs it.
-    pub fn crashing_stream(&mut self, index: usize) {
+    pub fn send_crashing_stream(&mut self, index: usize) {
         self.next_event += 1;
         let request = RequestId(self.next_event);
         self.crashing.insert(request);
--- a/shalehinge/tests/restored_platform.rs
+++ b/shalehinge/tests/restored_platform.rs
@@ -18,9 +18,9 @@
 /// Number of writes that the copy lacks.
 const LOST_WRITES: usize = 40;
 /// How long the platform is unavailable before it is restored.
-const AWAY: Duration = Duration::from_secs(2);
+const OUTAGE: Duration = Duration::from_secs(2);
 /// Time that users of the platform allow clients to reconnect after an outage.
-const IN_CONTACT: Duration = Duration::from_secs(3);
+const RECONNECT_WITHIN: Duration = Duration::from_secs(3);
 
 /// A fleet whose daemons know writes that the platform lost in a restore that has just ended.
 fn just_restored(daemons: u16) -> Fleet {
@@ -34,14 +34,14 @@
     }
     fleet.platform.configure(fleet_config(2));
     fleet.run(IN_FORCE_WITHIN);
-    fleet.restore_platform(AWAY);
+    fleet.restore_platform(OUTAGE);
     fleet
 }
 
 /// Like [`just_restored`], after all daemons have reconnected to the platform.
 fn restored(daemons: u16) -> Fleet {
     let mut fleet = just_restored(daemons);
-    fleet.run(IN_CONTACT);
+    fleet.run(RECONNECT_WITHIN);
     fleet
 }
 
@@ -52,30 +52,34 @@
 }
 
 /// Number of daemons that have a different number of routes in force than `count`.
-fn without_routes(fleet: &Fleet, count: usize) -> usize {
+fn daemons_without_routes(fleet: &Fleet, count: usize) -> usize {
     let others = fleet.daemons.iter().filter(|d| routes(d) != count);
     others.count()
 }
 
-fn a_change_is_in_force(daemons: u16) {
+fn assert_change_is_in_force(daemons: u16) {
     let mut fleet = restored(daemons);
     fleet.platform.configure(fleet_config(2));
     fleet.platform.configure(with_keys(fleet_config(3), 1));
     fleet.run(IN_FORCE_WITHIN);
-    assert_eq!(without_routes(&fleet, 3), 0, "with {daemons} daemons");
+    assert_eq!(
+        daemons_without_routes(&fleet, 3),
+        0,
+        "with {daemons} daemons"
+    );
 }
 
 #[test]
 fn a_change_below_the_last_known_revision_is_in_force_at_nine_daemons() {
-    a_change_is_in_force(9);
+    assert_change_is_in_force(9);
 }
 
 #[test]
 fn a_change_below_the_last_known_revision_is_in_force_at_340_daemons() {
-    a_change_is_in_force(340);
+    assert_change_is_in_force(340);
 }
 
-fn a_leaving_host_is_known(daemons: u16) {
+fn assert_leaving_host_is_known(daemons: u16) {
     let mut fleet = restored(daemons);
     fleet.platform.change(3, HostState::Leaving);
     fleet.run(DRAINED_WITHIN);
@@ -89,20 +93,20 @@
 
 #[test]
 fn a_host_that_leaves_below_the_last_known_revision_is_known_to_nine_daemons() {
-    a_leaving_host_is_known(9);
+    assert_leaving_host_is_known(9);
 }
 
 #[test]
 fn a_host_that_leaves_below_the_last_known_revision_is_known_to_340_daemons() {
-    a_leaving_host_is_known(340);
+    assert_leaving_host_is_known(340);
 }
 
 #[test]
 fn the_configuration_that_the_copy_lacks_stays_in_force() {
     let mut fleet = restored(9);
-    assert_eq!(without_routes(&fleet, 2), 0);
+    assert_eq!(daemons_without_routes(&fleet, 2), 0);
     fleet.run(Duration::from_secs(10));
-    assert_eq!(without_routes(&fleet, 2), 0);
+    assert_eq!(daemons_without_routes(&fleet, 2), 0);
 }
 
 #[test]
@@ -112,19 +116,19 @@
     fleet.platform.take_copy();
     fleet.platform.configure(fleet_config(5));
     fleet.run(IN_FORCE_WITHIN);
-    fleet.restore_platform(AWAY);
-    fleet.run(IN_CONTACT);
+    fleet.restore_platform(OUTAGE);
+    fleet.run(RECONNECT_WITHIN);
     fleet.platform.configure(fleet_config(3));
     fleet.platform.change(3, HostState::Leaving);
-    fleet.run(IN_CONTACT);
-    assert_eq!(without_routes(&fleet, 3), 0);
+    fleet.run(RECONNECT_WITHIN);
+    assert_eq!(daemons_without_routes(&fleet, 3), 0);
     let era = fleet.daemons.iter().map(Daemon::store_era).max();
     let behind = fleet.daemons.iter().filter(|d| Some(d.store_era()) != era);
     assert_eq!(behind.count(), 0);
 }
 
 #[test]
-fn no_daemon_lacks_anything_while_the_platform_comes_back_and_nothing_else_happens() {
+fn all_daemons_keep_routing_while_the_platform_is_restored() {
     for daemons in [9, 90] {
         let mut fleet = Fleet::new(daemons);
         fleet.run(Duration::from_secs(10));
@@ -133,17 +137,25 @@
         fleet.platform.take_copy();
         fleet.platform.change(3, HostState::Live);
         fleet.run(IN_FORCE_WITHIN);
-        fleet.restore_platform(AWAY);
+        fleet.restore_platform(OUTAGE);
         for _ in 0..100 {
             fleet.run(Duration::from_millis(50));
-            assert_eq!(fleet.cannot_route(), 0, "with {daemons} daemons");
-            assert_eq!(without_routes(&fleet, 2), 0, "with {daemons} daemons");
+            assert_eq!(
+                fleet.daemons_that_cannot_route(),
+                0,
+                "with {daemons} daemons"
+            );
+            assert_eq!(
+                daemons_without_routes(&fleet, 2),
+                0,
+                "with {daemons} daemons"
+            );
         }
     }
 }
 
 #[test]
-fn a_host_that_two_copies_in_a_row_lack_stands_until_it_had_its_time_to_write_again() {
+fn a_host_missing_from_two_copies_in_a_row_is_kept_until_it_had_time_to_rewrite_its_record() {
     const NEW_HOST: u16 = 35;
     let mut fleet = Fleet::new(9);
     fleet.run(Duration::from_secs(10));
@@ -156,11 +168,11 @@
     };
     for _ in 0..2 {
         fleet.restore_platform(Duration::from_millis(500));
-        fleet.run(IN_CONTACT);
+        fleet.run(RECONNECT_WITHIN);
         assert_eq!(fleet.daemons.iter().filter(knows).count(), 9);
         fleet.platform.take_copy();
     }
-    fleet.run(IN_CONTACT * 2);
+    fleet.run(RECONNECT_WITHIN * 2);
     assert_eq!(fleet.daemons.iter().filter(knows).count(), 0);
 }
 
@@ -182,7 +194,7 @@
 /// how soon all daemons know the new era and the changes in it.
 #[test]
 #[ignore = "measurement, run by hand"]
-fn time_and_calls_after_a_copy() {
+fn time_and_calls_after_a_restore() {
     for daemons in [9, 90, 340] {
         let mut fleet = just_restored(daemons);
         fleet.platform.configure(fleet_config(3));
@@ -196,7 +208,7 @@
             let hosts = daemon.state().routed_hosts().expect("listed");
             hosts.hosts[&host].state == HostState::Leaving
         });
-        fleet.run(IN_CONTACT - (era_known + configured + drained).min(IN_CONTACT));
+        fleet.run(RECONNECT_WITHIN - (era_known + configured + drained).min(RECONNECT_WITHIN));
         println!(
             "{daemons} daemons: era known after {era_known:?}, configuration after {:?}, leaving host \
              after {:?}; {} calls and {} lists of hosts in 3 s",
--- a/shalehinge/tests/store_era.rs
+++ b/shalehinge/tests/store_era.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_holder_stops_in_a_new_era_and_takes_the_lease_anew_while_its_term_lasts() {
+fn a_holder_stops_in_a_new_era_and_reacquires_the_lease_within_its_term() {
     let mut lease = holder();
     let token = lease.held(at(1_500)).expect("held");
     lease.note_era(at(2_000), SECOND, true);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_holder_whose_term_is_over_waits_like_any_other() {
+fn a_holder_whose_term_has_ended_waits_like_any_other_daemon() {
     let mut lease = holder();
     lease.note_era(at(6_000), SECOND, true);
     let copied = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_lease_given_back_in_a_copy_is_not_taken_until_the_last_holder_has_stopped() {
+fn a_lease_released_in_a_copy_is_not_acquired_until_the_last_holder_has_stopped() {
     let mut lease = lease();
     lease.note_era(at(0), SECOND, false);
     let copied = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
@@ -151,14 +151,14 @@
 }
 
 #[test]
-fn a_lease_missing_in_a_copy_is_not_taken_until_the_last_holder_has_stopped() {
+fn a_lease_missing_in_a_copy_is_not_acquired_until_the_last_holder_has_stopped() {
     let mut lease = lease();
     lease.note_era(at(0), SECOND, false);
     assert!(written_at(&mut lease, 0, None) >= TERM.as_millis() as u64);
 }
 
 #[test]
-fn a_fleet_that_starts_for_the_first_time_waits_for_no_term() {
+fn a_fleet_that_starts_for_the_first_time_does_not_wait_for_a_term() {
     let mut lease = lease();
     lease.note_era(at(0), SECOND, true);
     assert!(written_at(&mut lease, 0, None) < 2_000);
@@ -171,19 +171,19 @@
 }
 
 #[test]
-fn a_lease_given_back_in_a_known_era_is_taken_at_once() {
+fn a_lease_released_in_a_known_era_is_acquired_at_once() {
     let mut lease = lease();
     lease.note_era(at(0), FIRST, false);
     step(&mut lease, 0);
     let held = stored(Version::new(FIRST, 3), record("other", Epoch(1), false));
     lease.on_read(at(10), held);
-    let given_back = stored(Version::new(FIRST, 4), record("other", Epoch(1), true));
-    let millis = written_at(&mut lease, 5_000, given_back);
+    let released = stored(Version::new(FIRST, 4), record("other", Epoch(1), true));
+    let millis = written_at(&mut lease, 5_000, released);
     assert!(millis < 7_000, "{millis}");
 }
 
 #[test]
-fn a_fencing_token_rises_over_eras_though_nothing_is_known_of_the_one_before() {
+fn a_fencing_token_rises_across_eras_without_knowledge_of_the_previous_era() {
     let last_of_first = Epoch::first_of(FIRST).next_in(FIRST);
     assert!(Epoch(0).next_in(SECOND) > last_of_first);
     assert!(last_of_first.is_before(SECOND));
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn earlier_hosts_that_leave_do_not_come_back_with_a_copy() {
+fn leaving_earlier_hosts_do_not_return_with_a_copy() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaves = vec![changed(HOST, host(HostState::Leaving, 1))];
     let mut state = after_copy(live.clone(), leaves, live.clone());
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn earlier_hosts_that_a_copy_lacks_stand_until_hosts_have_written_again() {
+fn earlier_hosts_absent_from_a_copy_are_kept_until_hosts_have_rewritten_their_records() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let mut state = after_copy(live, Vec::new(), list(&[]));
     assert_eq!(routed(&state, HOST), LIVE);
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_host_reported_anew_is_as_the_new_era_tells() {
+fn a_host_reported_in_the_new_era_has_the_state_of_that_report() {
     let live = list(&[
         (HOST, host(HostState::Live, 1)),
         (OTHER, host(HostState::Live, 1)),
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_host_that_says_it_leaves_in_the_first_list_of_an_era_is_leaving() {
+fn a_host_listed_as_leaving_at_the_start_of_an_era_is_leaving() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaving = list(&[(HOST, host(HostState::Leaving, 1))]);
     let state = after_copy(live, Vec::new(), leaving);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn changes_of_another_era_are_not_laid_over_a_list() {
+fn changes_of_another_era_are_not_applied_to_a_list() {
     let mut state = FleetState::default();
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     apply(&mut state, Version::new(FIRST, 300), live);
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn hosts_outlast_two_copies_in_a_row() {
+fn host_states_survive_two_copies_in_a_row() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaves = vec![changed(HOST, host(HostState::Leaving, 1))];
     let mut state = after_copy(live.clone(), leaves, live.clone());
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_configuration_follows_its_writers_number_over_eras() {
+fn configurations_are_ordered_by_generation_across_eras() {
     let mut state = FleetState::default();
     state.apply(configured(28, Version::new(FIRST, 314)));
     state.apply(configured(26, Version::new(SECOND, 290)));
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_claim_that_the_store_lost_is_written_again_before_any_key_is_granted() {
+fn a_claim_that_the_store_lost_is_rewritten_before_any_key_is_granted() {
     let mut book = book();
     book.remember(at(1_000), WALL, KEY, OperationId(7));
     book.on_new_era(at(2_000));
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_claim_that_was_withdrawn_is_not_written_again() {
+fn a_withdrawn_claim_is_not_rewritten() {
     let mut book = book();
     book.remember(at(1_000), WALL, KEY, OperationId(7));
     book.withdraw(KEY, OperationId(7));
--- a/shalehinge/tests/store_era_answers.rs
+++ b/shalehinge/tests/store_era_answers.rs
@@ -17,15 +17,15 @@
 const FIRST: StoreEra = StoreEra::new(1);
 const SECOND: StoreEra = StoreEra::new(2);
 
-/// One daemon whose platform calls are answered by the test.
-struct One {
+/// DaemonHarness daemon whose platform calls are answered by the test.
+struct DaemonHarness {
     daemon: Daemon,
     now: Timestamp,
     open: BTreeMap<CallId, PlatformCall>,
     logs: Vec<String>,
 }
 
-impl One {
+impl DaemonHarness {
     fn new() -> Self {
         let settings = CoreSettings {
             learning: LearningSettings {
@@ -43,14 +43,14 @@
             is_first_start: true,
             wall_seconds: 0,
         };
-        let mut one = Self {
+        let mut harness = Self {
             daemon: Daemon::new(settings, identity, 1),
             now: Timestamp::from_millis(10),
             open: BTreeMap::new(),
             logs: Vec::new(),
         };
-        one.run(Duration::from_millis(100));
-        one
+        harness.run(Duration::from_millis(100));
+        harness
     }
 
     fn handle(&mut self, event: Event) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Answers the first open call that `fits`. Returns whether there was one.
+    /// Answers the first open call that `fits`. Returns whether there was harness.
     fn answer(&mut self, fits: impl Fn(&PlatformCall) -> bool, result: PlatformResult) -> bool {
         let call = self.open.iter().find(|(_, request)| fits(request));
         let Some(call) = call.map(|(call, _)| *call) else {
@@ -88,7 +88,7 @@
     }
 
     /// Generation of the configuration in force.
-    fn in_force(&self) -> u64 {
+    fn generation_in_force(&self) -> u64 {
         self.daemon.state().fleet_version().generation
     }
 }
@@ -170,49 +170,53 @@
 }
 
 /// A daemon that knows the configuration of generation 28 and the host list of the first era.
-fn serving() -> One {
-    let mut one = One::new();
-    assert!(one.answer(
+fn serving() -> DaemonHarness {
+    let mut harness = DaemonHarness::new();
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::new(FIRST, 314), 28)
     ));
-    assert!(one.answer(lists_hosts, hosts(Version::new(FIRST, 314))));
-    one.run(Duration::from_secs(1));
-    one
+    assert!(harness.answer(lists_hosts, hosts(Version::new(FIRST, 314))));
+    harness.run(Duration::from_secs(1));
+    harness
 }
 
 #[test]
-fn a_watch_that_is_answered_across_eras_lists_anew() {
-    let mut one = serving();
+fn a_watch_that_is_answered_across_eras_causes_a_new_list() {
+    let mut harness = serving();
     // The revision has passed 314 again in the new era. Writes of the new era up to 314 would be
     // missed if this reply were applied.
-    assert!(one.answer(
+    assert!(harness.answer(
         watches_configuration,
         configuration(Version::new(SECOND, 320), 30)
     ));
-    assert_eq!(one.in_force(), 28, "a watch across eras is not applied");
-    assert!(one.answer(
+    assert_eq!(
+        harness.generation_in_force(),
+        28,
+        "a watch across eras is not applied"
+    );
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::new(SECOND, 320), 30)
     ));
-    assert_eq!(one.in_force(), 30);
-    assert_eq!(one.daemon.store_era(), Some(SECOND));
+    assert_eq!(harness.generation_in_force(), 30);
+    assert_eq!(harness.daemon.store_era(), Some(SECOND));
 }
 
 #[test]
-fn forgotten_history_in_a_new_era_lists_all_feeds_anew() {
-    let mut one = serving();
-    assert!(one.answer(
+fn discarded_history_in_a_new_era_causes_new_lists_of_all_feeds() {
+    let mut harness = serving();
+    assert!(harness.answer(
         watches_configuration,
         Ok(PlatformReply::HistoryGone(SECOND))
     ));
-    assert!(one.open.values().any(lists_configuration));
-    assert!(one.answer(watches_hosts, Err(NoAnswer)));
+    assert!(harness.open.values().any(lists_configuration));
+    assert!(harness.answer(watches_hosts, Err(NoAnswer)));
     assert!(
-        one.open.values().any(lists_hosts),
+        harness.open.values().any(lists_hosts),
         "listed at once, not after the retry delay"
     );
-    let line = one
+    let line = harness
         .logs
         .iter()
         .find(|line| line.contains("restored from a copy"));
@@ -223,58 +227,58 @@
 }
 
 #[test]
-fn a_late_answer_of_an_earlier_era_changes_nothing() {
-    let mut one = serving();
-    assert!(one.answer(watches_hosts, Ok(PlatformReply::HistoryGone(SECOND))));
-    assert!(one.answer(lists_hosts, hosts(Version::new(SECOND, 290))));
-    assert!(one.answer(
+fn a_late_reply_of_an_earlier_era_changes_nothing() {
+    let mut harness = serving();
+    assert!(harness.answer(watches_hosts, Ok(PlatformReply::HistoryGone(SECOND))));
+    assert!(harness.answer(lists_hosts, hosts(Version::new(SECOND, 290))));
+    assert!(harness.answer(
         watches_configuration,
         configuration(Version::new(FIRST, 330), 40)
     ));
-    assert_eq!(one.in_force(), 28);
-    assert_eq!(one.daemon.store_era(), Some(SECOND));
+    assert_eq!(harness.generation_in_force(), 28);
+    assert_eq!(harness.daemon.store_era(), Some(SECOND));
     assert_eq!(
-        one.daemon.state().hosts_version(),
+        harness.daemon.state().hosts_version(),
         Version::new(SECOND, 290)
     );
 }
 
 #[test]
-fn an_answer_without_an_era_is_passed_over_once_one_is_known() {
-    let mut one = serving();
-    assert!(one.answer(
+fn a_reply_without_an_era_is_ignored_once_an_era_is_known() {
+    let mut harness = serving();
+    assert!(harness.answer(
         watches_configuration,
         configuration(Version::without_era(900), 40)
     ));
-    assert_eq!(one.in_force(), 28);
-    assert_eq!(one.daemon.store_era(), Some(FIRST));
+    assert_eq!(harness.generation_in_force(), 28);
+    assert_eq!(harness.daemon.store_era(), Some(FIRST));
 }
 
 #[test]
-fn a_store_without_eras_is_served_as_before() {
-    let mut one = One::new();
-    assert!(one.answer(
+fn objects_of_a_store_without_eras_are_applied() {
+    let mut harness = DaemonHarness::new();
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::without_era(10), 3)
     ));
-    assert!(one.answer(
+    assert!(harness.answer(
         watches_configuration,
         configuration(Version::without_era(11), 4)
     ));
-    assert_eq!(one.in_force(), 4);
+    assert_eq!(harness.generation_in_force(), 4);
 }
 
 #[test]
-fn an_era_that_jumps_by_two_counts_as_one_change() {
-    let mut one = serving();
+fn skipping_an_era_counts_as_one_change() {
+    let mut harness = serving();
     let third = StoreEra::new(3);
-    assert!(one.answer(watches_configuration, Ok(PlatformReply::HistoryGone(third))));
-    assert!(one.answer(
+    assert!(harness.answer(watches_configuration, Ok(PlatformReply::HistoryGone(third))));
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::new(third, 280), 30)
     ));
-    assert_eq!(one.in_force(), 30);
-    let changes = one
+    assert_eq!(harness.generation_in_force(), 30);
+    let changes = harness
         .logs
         .iter()
         .filter(|line| line.contains("restored from a copy"));
@@ -282,43 +286,43 @@
 }
 
 #[test]
-fn a_store_that_comes_back_twice_within_a_second_is_followed() {
-    let mut one = serving();
-    assert!(one.answer(
+fn two_restores_within_a_second_are_followed() {
+    let mut harness = serving();
+    assert!(harness.answer(
         watches_configuration,
         Ok(PlatformReply::HistoryGone(SECOND))
     ));
     let third = StoreEra::new(3);
-    assert!(one.answer(
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::new(third, 285), 26)
     ));
-    assert_eq!(one.in_force(), 28);
-    assert!(one.answer(
+    assert_eq!(harness.generation_in_force(), 28);
+    assert!(harness.answer(
         lists_configuration,
         configuration(Version::new(third, 286), 30)
     ));
-    assert_eq!(one.in_force(), 30);
+    assert_eq!(harness.generation_in_force(), 30);
 }
 
 #[test]
-fn a_write_that_took_effect_on_the_same_number_of_another_era_gives_no_lease() {
-    let mut one = serving();
-    one.answer(reads_lease, Ok(PlatformReply::Missing(FIRST)));
-    one.run(Duration::from_secs(3));
-    assert!(one.answer(
+fn a_write_that_took_effect_on_the_same_number_of_another_era_grants_no_lease() {
+    let mut harness = serving();
+    harness.answer(reads_lease, Ok(PlatformReply::Missing(FIRST)));
+    harness.run(Duration::from_secs(3));
+    assert!(harness.answer(
         writes_lease,
         Ok(PlatformReply::Written(Version::new(FIRST, 5)))
     ));
-    assert!(one.daemon.lease().held(one.now).is_some());
-    one.run(Duration::from_millis(2_500));
-    assert!(one.answer(
+    assert!(harness.daemon.lease().held(harness.now).is_some());
+    harness.run(Duration::from_millis(2_500));
+    assert!(harness.answer(
         writes_lease,
         Ok(PlatformReply::Written(Version::new(SECOND, 6)))
     ));
-    assert!(one.daemon.lease().held(one.now).is_none());
+    assert!(harness.daemon.lease().held(harness.now).is_none());
     assert!(
-        one.open.values().any(reads_lease),
+        harness.open.values().any(reads_lease),
         "the lease is read before it is written again"
     );
 }
