--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -21,6 +21,7 @@
 fn host_watch_spacing(spacing: Duration, daemons: usize) -> Duration {
     /// Number of daemons up to which the configured spacing applies unchanged.
     const UNSTRETCHED_DAEMONS: f64 = 16.0;
+    /// Longest interval, unless the configured spacing is longer.
     const MAX_SPACING: Duration = Duration::from_millis(1_200);
     let stretched = spacing.mul_f64((daemons as f64 / UNSTRETCHED_DAEMONS).max(1.0));
     stretched.min(MAX_SPACING.max(spacing))
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -67,9 +67,7 @@
 pub const TICK: Duration = Duration::from_millis(50);
 /// Number of daemons per failure domain that try to acquire its control lease.
 const LEASE_CANDIDATES: usize = 3;
-/// Membership duty of reading the platform with [`Freshness::Exact`].
-///
-/// [`Freshness::Exact`]: crate::core::platform::Freshness::Exact
+/// Membership duty of the watchers, which read the platform with exact freshness.
 const WATCH_DUTY: &str = "watch";
 /// Minimum time between two pulls that ask a watcher to confirm the configuration.
 const CONFIRM_PULL_INTERVAL: Duration = Duration::from_millis(400);
@@ -164,6 +162,7 @@
     claimed_requests: BTreeMap<RequestId, ClaimedRequest>,
     feeds: Vec<Feed>,
     routes: RouteTable,
+    /// When the configuration in force was last known to be the newest, as reported by peers.
     confirmed_by_peer: Option<Timestamp>,
     /// The newest known revision of the platform, and when it was confirmed.
     confirmation: Option<Confirmation>,
--- a/shalehinge/tests/configuration_spread.rs
+++ b/shalehinge/tests/configuration_spread.rs
@@ -14,6 +14,7 @@
 /// Maximum time from the platform's acceptance of a configuration until all daemons have it in
 /// force.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(3);
+/// Time between two configuration changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(1_800);
 const ROUTES: usize = 2_040;
 const GROUPS: u16 = 24;
