--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -213,15 +213,15 @@
     ),
     "an-answer-from-before-a-limit-ends-nothing": (
         CORE + "router/named.rs",
-        "NamedLimit::None => self.set(sent_at, None),",
-        "NamedLimit::None => self.set(now.max(sent_at), None),",
-        "named_limit", "from_before_a_limit",
+        "AdvertisedLimit::None => self.set(sent_at, None),",
+        "AdvertisedLimit::None => self.set(now.max(sent_at), None),",
+        "advertised_limit", "from_before_a_limit",
     ),
     "what-cannot-be-read-is-no-limit": (
-        CORE + "named_limit.rs",
+        CORE + "advertised_limit.rs",
         "            .filter(|text| text.chars().all(is_decimal))\n",
         "            .filter(|text| is_decimal('0') || text.is_empty())\n",
-        "named_limit", "is_no_limit",
+        "advertised_limit", "is_no_limit",
     ),
     "a-suspect-is-tried": (
         CORE + "router/refusal.rs",
@@ -615,8 +615,8 @@
     ),
     "unclear-confirm": (
         CORE + "operator.rs",
-        "if known.version > confirm.base {",
-        "if known.version >= confirm.base {",
+        "if inputs.version > confirm.base {",
+        "if inputs.version >= confirm.base {",
         "operator", "may_still_land",
     ),
     "opens-whole": (
--- a/shalehinge/src/core/named_limit.rs
+++ b/shalehinge/src/core/advertised_limit.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest part of a text that can't be read which is kept for the log, in characters.
-const MOST_KEPT: usize = 40;
+const MAX_LOGGED_CHARS: usize = 40;
 
 /// Requests a second that an upstream takes from all daemons together; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
 
 /// What one answer says of its upstream's limit.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NamedLimit {
+pub enum AdvertisedLimit {
     /// Nothing: it takes as many as it can run.
     None,
     /// It takes so many.
@@ -57,10 +57,10 @@
     Unreadable(String),
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// Reads all values of the header. A decimal number is a limit; what is named twice, or is
     /// no number of requests, is none.
-    pub fn read<'a>(mut values: impl Iterator<Item = &'a str>) -> Self {
+    pub fn parse<'a>(mut values: impl Iterator<Item = &'a str>) -> Self {
         let Some(text) = values.next() else {
             return Self::None;
         };
@@ -78,11 +78,11 @@
     }
 }
 
-fn unreadable(text: &str) -> NamedLimit {
-    NamedLimit::Unreadable(kept_start(text))
+fn unreadable(text: &str) -> AdvertisedLimit {
+    AdvertisedLimit::Unreadable(truncate_for_log(text))
 }
 
 /// The start of a text that can't be read, for the log.
-pub(super) fn kept_start(text: &str) -> String {
-    text.chars().take(MOST_KEPT).collect()
+pub(super) fn truncate_for_log(text: &str) -> String {
+    text.chars().take(MAX_LOGGED_CHARS).collect()
 }
--- a/shalehinge/src/core/change.rs
+++ b/shalehinge/src/core/change.rs
@@ -135,8 +135,8 @@
                 if *share == 0 {
                     return Err(ChangeError::ZeroShare);
                 }
-                let entry = changed.customers.get_mut(customer);
-                entry
+                let customer_config = changed.customers.get_mut(customer);
+                customer_config
                     .ok_or_else(|| ChangeError::UnknownCustomer(customer.clone()))?
                     .share = *share;
             }
@@ -158,7 +158,7 @@
                 }
             }
             Self::Configure(configuration) => {
-                configuration.check()?;
+                configuration.validate()?;
                 changed.customers = configuration.customers.clone();
                 changed.services = configuration.services.clone();
                 changed.weights = configuration.weights;
@@ -169,14 +169,14 @@
 }
 
 impl Configuration {
-    fn check(&self) -> Result<(), ChangeError> {
+    fn validate(&self) -> Result<(), ChangeError> {
         for customer in self.customers.values() {
             if customer.share == 0 {
                 return Err(ChangeError::ZeroShare);
             }
             for hash in &customer.key_sha256 {
-                let is_hash = hash.len() == 64 && hash.bytes().all(|b| b.is_ascii_hexdigit());
-                if !is_hash {
+                let is_sha256_hex = hash.len() == 64 && hash.bytes().all(|b| b.is_ascii_hexdigit());
+                if !is_sha256_hex {
                     return Err(ChangeError::KeyHash(hash.clone()));
                 }
             }
--- a/shalehinge/src/core/controller/ordered_plan.rs
+++ b/shalehinge/src/core/controller/ordered_plan.rs
@@ -35,7 +35,7 @@
         log: &mut Vec<String>,
     ) {
         self.take_departures(now, value);
-        self.departed.retain(|host| value.uses(host));
+        self.departed.retain(|host| value.is_in_use(host));
         self.drop_retired(value, log);
         self.promote_open(value, log);
         self.note_listed_losses(now, value);
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -189,7 +189,7 @@
         let domain = &record.failure_domain;
         let sizes = fabrics.entry(domain).or_default();
         *sizes.entry(&record.fabric_domain).or_default() += 1;
-        if let Some((number, model)) = record.standing_group() {
+        if let Some((number, model)) = record.intact_group() {
             let known = groups.entry(domain).or_default();
             known.insert(number, model.clone());
         }
--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -2,7 +2,7 @@
 
 use super::{Daemon, Purpose, log, refusal_of};
 use crate::core::claims::{ClaimResult, ClaimStep};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::objects::{ClaimPartition, Object, ObjectKey, Versioned};
 use crate::core::platform::{Freshness, NoAnswer, PlatformCall, PlatformReply, PlatformResult};
 use crate::core::router::request::Outcome;
@@ -112,7 +112,7 @@
             self.claimed.remove(&request);
             let outcome = refusal_of(result);
             let text = format!("request {} is refused its key: {result:?}", request.0);
-            log(out, Part::Claim, text);
+            log(out, Component::Claim, text);
             out.push(Action::Answer { request, outcome });
         }
     }
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{Daemon, Purpose, RUMOUR_FANOUT, WATCH_DUTY, WATCH_PAUSE, log};
-use crate::core::event::{Action, LimitsNotice, Notice, Part, QuarantineReport};
+use crate::core::event::{Action, Component, LimitsNotice, Notice, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{Applied, ObjectUpdate};
 use crate::core::objects::{Object, ObjectKey};
@@ -181,7 +181,7 @@
             object: Box::new(Object::Fleet(fleet.value.clone())),
         };
         let text = format!("the platform lost Fleet version {version}, it is written again");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
         self.call(Purpose::RewriteFleet, request, out);
     }
 
@@ -222,7 +222,7 @@
     /// A daemon that is cut off from all who know the newer one serves on.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
         let within = self.settings.learning.served_when_superseded();
-        within.is_some_and(|within| self.superseded.is_known_for(now, within))
+        within.is_some_and(|within| self.superseded.is_outdated_for(now, within))
     }
 
     /// Takes in objects that are newer, and tells peers of them.
@@ -251,11 +251,11 @@
                 // Daemons that hear of hosts from peers ask for them at intervals.
                 is_news |= key != ObjectKey::Hosts || !self.settings.learning.relays;
                 let text = format!("{key:?} version {version} is in force");
-                log(out, Part::Config, text);
+                log(out, Component::Config, text);
             }
         }
         if is_changed {
-            self.superseded.take(self.state.fleet_version());
+            self.superseded.on_accepted(self.state.fleet_version());
             self.rebuild_routes(now, out);
             self.rebuild_topology();
         }
@@ -272,7 +272,7 @@
             return;
         }
         let text = format!("Fleet version {version} is passed over, {in_force} is in force");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
     }
 
     /// Requests that wait and are no longer allowed end here.
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -4,7 +4,7 @@
 
 use super::{CANDIDATES, Daemon, Purpose, WORK_INTERVAL, log};
 use crate::core::controller::{ControllerAction, Listing, Origin};
-use crate::core::event::{Action, Part, StatusPurpose};
+use crate::core::event::{Action, Component, StatusPurpose};
 use crate::core::fleet_state::ObjectUpdate;
 use crate::core::lease::LeaseStep;
 use crate::core::objects::{Assignment, Object, ObjectKey, Versioned};
@@ -57,7 +57,7 @@
             Some(epoch) => format!("holds {domain} in epoch {}", epoch.0),
             None => format!("no longer holds {domain}"),
         };
-        log(out, Part::Lease, text);
+        log(out, Component::Lease, text);
     }
 
     pub(super) fn on_lease_reply(
@@ -101,7 +101,7 @@
         let daemons = self.membership.fleet_size(now);
         let work = self.demand.of_fleet(now, daemons);
         for text in self.controller.note_work(&self.state, &work) {
-            log(out, Part::Place, text);
+            log(out, Component::Place, text);
         }
     }
 
@@ -149,7 +149,7 @@
                 order,
             } => {
                 let text = format!("orders {host}, group {}: {}", order.group.0, order.command);
-                log(out, Part::Place, text);
+                log(out, Component::Place, text);
                 out.push(Action::Order {
                     host,
                     address,
@@ -157,7 +157,7 @@
                     valid_until: self.lease.valid_until(),
                 });
             }
-            ControllerAction::Probe { group, rank_zero } => out.push(Action::AskStatus {
+            ControllerAction::Probe { group, rank_zero } => out.push(Action::RequestStatus {
                 purpose: StatusPurpose::Probe(group),
                 host: Some(rank_zero.host),
                 address: rank_zero.address,
@@ -171,7 +171,7 @@
                 };
                 self.tell_lost(now, replica, out);
             }
-            ControllerAction::Log(text) => log(out, Part::Place, text),
+            ControllerAction::Log(text) => log(out, Component::Place, text),
         }
     }
 
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -6,7 +6,7 @@
 
 use super::configuration::send_notice;
 use super::{Daemon, log};
-use crate::core::event::{Action, LimitsNotice, Notice, Part};
+use crate::core::event::{Action, Component, LimitsNotice, Notice};
 use crate::core::membership::Owner;
 use crate::core::permits::{Granted, LimitReport, PermitRequest};
 use crate::core::types::{Address, Timestamp};
@@ -92,7 +92,7 @@
                 "grants {} requests at {} to {daemon}",
                 grant.count, grant.upstream
             );
-            log(out, Part::Route, text);
+            log(out, Component::Route, text);
             let limits = LimitsNotice {
                 granted: vec![grant],
                 ..LimitsNotice::default()
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -39,19 +39,19 @@
 use crate::core::claims::{ClaimBook, ClaimResult};
 use crate::core::controller::Controller;
 use crate::core::demand::Demand;
-use crate::core::event::{Action, Event, LimitsNotice, LogLine, Part, StatusPurpose};
+use crate::core::event::{Action, Component, Event, LimitsNotice, LogLine, StatusPurpose};
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{FleetState, HostDetail};
 use crate::core::lease::ControlLease;
 use crate::core::membership::{Heartbeat, Membership};
 use crate::core::objects::KeyHash;
-use crate::core::operator::{OperatorCallId, Operators};
+use crate::core::operator::{OperatorCallId, OperatorCalls};
 use crate::core::permits::PermitOwner;
 use crate::core::platform::{CallId, Scope};
 use crate::core::router::Router;
 use crate::core::router::request::{NotRunReason, Outcome, RequestMeta, UnknownReason};
-use crate::core::routes::{RouteQuery, RouteRefusal, RouteTable, Routed};
-use crate::core::superseded::Superseded;
+use crate::core::routes::{RouteMatch, RouteQuery, RouteRefusal, RouteTable};
+use crate::core::superseded::NewerConfigurations;
 use crate::core::trials::{TrialGrant, TrialOwner};
 use crate::core::types::{
     Address, Customer, DaemonId, FailureDomain, FleetVersion, Incarnation, OperationId, RequestId,
@@ -145,7 +145,7 @@
     own_trials: Vec<TrialGrant>,
     /// What this daemon has for itself as an owner of limits.
     own_limits: Vec<LimitsNotice>,
-    operators: Operators,
+    operators: OperatorCalls,
     router: Router,
     demand: Demand,
     next_work_at: Timestamp,
@@ -165,7 +165,7 @@
     /// The time of which peers told the host list.
     hosts_told_at: Option<Timestamp>,
     whole_fetch: WholeFetch,
-    superseded: Superseded,
+    superseded: NewerConfigurations,
     /// How long before the start of this daemon the platform confirmed the configuration, as
     /// peers told; counts until it is confirmed again.
     confirmed_before_start: Option<Duration>,
@@ -212,7 +212,7 @@
             trials: TrialOwner::default(),
             own_trials: Vec::new(),
             own_limits: Vec::new(),
-            operators: Operators::default(),
+            operators: OperatorCalls::default(),
             router: Router::new(settings.router, identity.incarnation),
             demand: Demand::default(),
             next_work_at: Timestamp::ZERO,
@@ -232,7 +232,7 @@
             next_relay_at: Timestamp::ZERO,
             hosts_told_at: None,
             whole_fetch: WholeFetch::default(),
-            superseded: Superseded::default(),
+            superseded: NewerConfigurations::default(),
             confirmed_before_start: None,
             next_suspects_at: Timestamp::ZERO,
             was_holder: false,
@@ -292,7 +292,7 @@
 
     /// Where a relayed request goes. It is refused for good only on a configuration
     /// that is known to be fresh, and not served on one that is known to be out of date.
-    pub fn route(&self, now: Timestamp, query: RouteQuery<'_>) -> Result<Routed, RouteRefusal> {
+    pub fn route(&self, now: Timestamp, query: RouteQuery<'_>) -> Result<RouteMatch, RouteRefusal> {
         if self.state.fleet().is_none() || self.is_out_of_date(now) {
             return Err(RouteRefusal::NotReady);
         }
@@ -317,13 +317,13 @@
         match event {
             Event::Tick => self.tick(now, out),
             Event::Platform { call, result } => self.on_platform(now, call, result, out),
-            Event::PullAsked { pull_id, pull } => self.on_pull_asked(now, pull_id, pull, out),
+            Event::PullReceived { pull_id, pull } => self.on_pull_asked(now, pull_id, pull, out),
             Event::PullAnswered {
                 topic,
                 asked_at,
                 reply,
             } => self.on_pull_answered(now, topic, asked_at, reply, out),
-            Event::Noticed(notice) => self.on_noticed(now, notice, out),
+            Event::NoticeReceived(notice) => self.on_noticed(now, notice, out),
             Event::Status {
                 purpose,
                 asked_at,
@@ -352,7 +352,7 @@
                 None => self.controller.on_order_unanswered(now, asked_at, &host),
             },
             Event::Request { request, meta } => self.on_request(now, request, meta, out),
-            Event::Output { request, attempt } => self.router.on_output(now, request, attempt),
+            Event::FirstOutput { request, attempt } => self.router.on_output(now, request, attempt),
             Event::Progress { request, attempt } => {
                 self.router.on_progress(now, request, attempt);
             }
@@ -361,7 +361,7 @@
                 attempt,
                 signal,
             } => self.on_signal(now, request, attempt, signal, out),
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -411,8 +411,8 @@
     }
 }
 
-fn log(out: &mut Vec<Action>, part: Part, text: String) {
-    out.push(Action::Log(LogLine { part, text }));
+fn log(out: &mut Vec<Action>, component: Component, text: String) {
+    out.push(Action::Log(LogLine { component, text }));
 }
 
 fn not_run(reason: NotRunReason, retry_after: Duration) -> Outcome {
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -1,7 +1,7 @@
 //! Plans and confirms.
 
 use super::{Daemon, Purpose, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::operator::{OperatorCall, OperatorCallId, OperatorStep};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::Timestamp;
@@ -20,7 +20,7 @@
                 format!("confirms {:?} on version {}", confirm.change, confirm.base)
             }
         };
-        log(out, Part::Operator, what);
+        log(out, Component::Operator, what);
         let step = self.operators.begin(now, id, call);
         self.operator_step(now, id, Some(step), Err(NoAnswer), out);
     }
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -12,7 +12,8 @@
 };
 use crate::core::demand::WorkReport;
 use crate::core::event::{
-    Action, LastOutput, Notice, Pull, PullId, PullReply, PullTopic, QuarantineReport, Reached,
+    Action, LastOutput, Notice, Pull, PullId, PullReply, PullTopic, QuarantineReport,
+    ReachedRevision,
 };
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{ObjectUpdate, VersionDigest};
@@ -222,7 +223,7 @@
             updates: self.updates_for(pull.topic, &pull.digest),
             confirmed_ms_ago: self.confirmed_at().map(|at| now.millis_since(at)),
             hosts_ms_ago: hosts_heard_at.map(|at| now.millis_since(at)),
-            reached: self.confirmation.map(|confirmation| Reached {
+            reached: self.confirmation.map(|confirmation| ReachedRevision {
                 revision: confirmation.revision,
                 ms_ago: now.millis_since(confirmation.at),
             }),
@@ -280,7 +281,7 @@
     /// Notes that a peer knows these versions, and which peer to ask for what is newer.
     fn hear_versions(&mut self, now: Timestamp, from: Address, digest: &VersionDigest) {
         let own = self.state.fleet_version();
-        self.superseded.hear(now, digest.fleet, own);
+        self.superseded.on_reported(now, digest.fleet, own);
         if self.state.is_behind(digest) {
             let distance = self.distance_of(from);
             self.whole_fetch.hear(now, from, distance);
--- a/shalehinge/src/core/daemon/platform_calls.rs
+++ b/shalehinge/src/core/daemon/platform_calls.rs
@@ -12,7 +12,7 @@
     pub(super) fn call(&mut self, purpose: Purpose, request: PlatformCall, out: &mut Vec<Action>) {
         let call = CallId(self.next_call);
         self.next_call += 1;
-        let rests_on = request.rests_on();
+        let rests_on = request.base_era();
         self.calls.insert(call, OpenCall { purpose, rests_on });
         out.push(Action::Platform { call, request });
     }
--- a/shalehinge/src/core/daemon/requests.rs
+++ b/shalehinge/src/core/daemon/requests.rs
@@ -4,7 +4,7 @@
 
 use super::{Claimed, Daemon, log, not_run};
 use crate::core::engine::EngineStatus;
-use crate::core::event::{Action, Part, StatusPurpose};
+use crate::core::event::{Action, Component, StatusPurpose};
 use crate::core::permits::PermitRequest;
 use crate::core::router::RouterAction;
 use crate::core::router::request::{AttemptEnd, NotRunReason, RequestMeta, Target, UpstreamId};
@@ -155,7 +155,7 @@
         self.router.set_sharers(sharers);
         self.router.set_keys_until(self.keys_valid_until());
         for spec in self.router.reports_wanted(now) {
-            out.push(Action::AskStatus {
+            out.push(Action::RequestStatus {
                 purpose: StatusPurpose::Report(spec.id),
                 host: None,
                 address: spec.address,
@@ -175,7 +175,7 @@
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => out.push(Action::Send(attempt)),
-                RouterAction::Abandon(attempt) => out.push(Action::Abandon(attempt)),
+                RouterAction::Abandon(attempt) => out.push(Action::CancelAttempt(attempt)),
                 RouterAction::CheckUpstream { upstream, address } => {
                     out.push(Action::CheckUpstream { upstream, address });
                 }
@@ -184,10 +184,10 @@
                     self.ask_permits(now, PermitRequest { known, wanted }, out);
                 }
                 RouterAction::AskTrial(request) => self.ask_trial(now, request, out),
-                RouterAction::Log(text) => log(out, Part::Route, text),
+                RouterAction::Log(text) => log(out, Component::Route, text),
                 RouterAction::Answer { request, outcome } => {
                     let text = format!("request {} ends: {outcome:?}", request.0);
-                    log(out, Part::Route, text);
+                    log(out, Component::Route, text);
                     self.settle_claim(request, &outcome);
                     out.push(Action::Answer { request, outcome });
                 }
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -1,7 +1,7 @@
 //! A planned stop.
 
 use super::{Daemon, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::types::Timestamp;
 
 impl Daemon {
@@ -11,7 +11,11 @@
         }
         self.on_leave(now, out);
         self.is_stopping = true;
-        log(out, Part::Daemon, "stops when its requests are done".into());
+        log(
+            out,
+            Component::Daemon,
+            "stops when its requests are done".into(),
+        );
         self.finish_stop(out);
     }
 
@@ -22,7 +26,7 @@
         }
         self.is_leaving = true;
         self.membership.leave();
-        log(out, Part::Daemon, "leaves; no longer ready".into());
+        log(out, Component::Daemon, "leaves; no longer ready".into());
         let operation = self.operation();
         if let Some(step) = self.lease.release(now, operation) {
             self.lease_step(step, out);
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::{Daemon, Purpose, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::{StoreEra, Timestamp, Version};
 
@@ -85,7 +85,7 @@
         }
         let known = self.era.era.unwrap_or_default();
         let text = format!("an answer of era {era} is passed over, the platform is in era {known}");
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
     }
 
     /// The platform, or a peer, tells the era of the store, and perhaps how far that came.
@@ -122,7 +122,7 @@
                 ""
             },
         );
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
         self.note_holder(now, out);
     }
 
@@ -148,6 +148,6 @@
         self.state.forget_earlier_hosts();
         self.rebuild_topology();
         let text = "hosts are as the platform lists them now".to_owned();
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
     }
 }
--- a/shalehinge/src/core/event.rs
+++ b/shalehinge/src/core/event.rs
@@ -71,7 +71,7 @@
     pub hosts_ms_ago: Option<u64>,
     /// The newest revision that the platform is known there to have reached.
     #[serde(default)]
-    pub reached: Option<Reached>,
+    pub reached: Option<ReachedRevision>,
     /// What arrived at the answerer and others; only where members were asked for too.
     #[serde(default)]
     pub work: Vec<WorkReport>,
@@ -144,7 +144,7 @@
 
 /// That the platform had reached a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reached {
+pub struct ReachedRevision {
     /// The revision.
     pub revision: Version,
     /// How long ago it was asked, in milliseconds.
@@ -204,7 +204,7 @@
         result: PlatformResult,
     },
     /// A peer pulls.
-    PullAsked {
+    PullReceived {
         /// Where the answer goes.
         pull_id: PullId,
         /// What it sent.
@@ -220,7 +220,7 @@
         reply: Option<PullReply>,
     },
     /// A peer told that there is something new.
-    Noticed(Notice),
+    NoticeReceived(Notice),
     /// An engine told its status, or did not answer.
     Status {
         /// Who asked.
@@ -251,7 +251,7 @@
         meta: RequestMeta,
     },
     /// The first output of an attempt went to the caller.
-    Output {
+    FirstOutput {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -274,7 +274,7 @@
         signal: UpstreamSignal,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -337,7 +337,7 @@
         notice: Notice,
     },
     /// Ask an engine for its status.
-    AskStatus {
+    RequestStatus {
         /// Who asks.
         purpose: StatusPurpose,
         /// Which host, where it is known.
@@ -359,7 +359,7 @@
     /// Send a request to an upstream.
     Send(Attempt),
     /// Break off an attempt.
-    Abandon(AttemptId),
+    CancelAttempt(AttemptId),
     /// Look whether an upstream is still there; always answered by
     /// [`Event::UpstreamChecked`].
     CheckUpstream {
@@ -392,14 +392,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
     /// Which part says it.
-    pub part: Part,
+    pub component: Component,
     /// What it says.
     pub text: String,
 }
 
 /// Parts of a daemon, each with its prefix in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Component {
     /// Routing decisions.
     Route,
     /// Placement decisions.
@@ -418,7 +418,7 @@
     Daemon,
 }
 
-impl Part {
+impl Component {
     /// The prefix of its lines.
     pub fn prefix(self) -> &'static str {
         match self {
--- a/shalehinge/src/core/fingerprint.rs
+++ b/shalehinge/src/core/fingerprint.rs
@@ -13,7 +13,7 @@
 /// Bytes of the start and of the end of a body that count, besides its length. Hashing
 /// both takes less than a millisecond of a quarter core, and a body of megabytes would hold up
 /// all other requests of the daemon.
-const HASHED_BYTES: usize = 32 * 1024;
+const HASHED_BYTES_PER_END: usize = 32 * 1024;
 
 /// Names what a request asks: customer, method, path and body. It is cut from a SHA-256, as
 /// with a weaker hash a customer could make requests that pass for those of another one.
@@ -30,18 +30,18 @@
             hasher.update(part);
         }
         hasher.update((body.len() as u64).to_be_bytes());
-        if body.len() <= 2 * HASHED_BYTES {
+        if body.len() <= 2 * HASHED_BYTES_PER_END {
             hasher.update(body);
         } else {
-            hasher.update(&body[..HASHED_BYTES]);
-            hasher.update(&body[body.len() - HASHED_BYTES..]);
+            hasher.update(&body[..HASHED_BYTES_PER_END]);
+            hasher.update(&body[body.len() - HASHED_BYTES_PER_END..]);
         }
         let digest = hasher.finalize();
-        let (start, _) = digest.split_at(size_of::<u64>());
-        let bytes = start
+        let (prefix, _) = digest.split_at(size_of::<u64>());
+        let value = prefix
             .iter()
             .fold(0, |sum, byte| sum << 8 | u64::from(*byte));
-        Self(bytes)
+        Self(value)
     }
 }
 
--- a/shalehinge/src/core/hash.rs
+++ b/shalehinge/src/core/hash.rs
@@ -8,7 +8,7 @@
 use siphasher::sip::SipHasher13;
 
 /// Weight of `member` for `subject`; the highest weight is responsible.
-pub fn weight(subject: &impl Hash, member: &impl Hash) -> u64 {
+pub fn rendezvous_weight(subject: &impl Hash, member: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     subject.hash(&mut hasher);
     member.hash(&mut hasher);
@@ -16,13 +16,13 @@
 }
 
 /// The `count` members with the highest weight for `subject`, highest first.
-pub fn top<M: Hash + Ord>(
+pub fn highest_weighted<M: Hash + Ord>(
     subject: &impl Hash,
     members: impl Iterator<Item = M>,
     count: usize,
 ) -> Vec<M> {
     let mut weighted: Vec<(u64, M)> = members
-        .map(|member| (weight(subject, &member), member))
+        .map(|member| (rendezvous_weight(subject, &member), member))
         .collect();
     weighted.sort_by(|a, b| b.cmp(a));
     weighted.truncate(count);
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -53,7 +53,7 @@
 
 impl Heartbeat {
     fn run(&self) -> RunId {
-        RunId(hash::weight(&self.daemon, &self.incarnation.0) as u32)
+        RunId(hash::rendezvous_weight(&self.daemon, &self.incarnation.0) as u32)
     }
 
     fn brief(&self) -> BriefHeartbeat {
@@ -352,7 +352,7 @@
     /// Members of the own failure domain by their weight for a duty, the highest first.
     pub fn ranked(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
         let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), usize::MAX)
+        hash::highest_weighted(&duty, self.on_duty(now, domain), usize::MAX)
     }
 
     /// Whether there is any daemon to ask.
@@ -363,17 +363,17 @@
     /// Whether this daemon is among the `count` responsible for `duty` in its domain.
     pub fn is_responsible(&self, now: Timestamp, duty: &str, count: usize) -> bool {
         let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), count).contains(&&self.me.daemon)
+        hash::highest_weighted(&duty, self.on_duty(now, domain), count).contains(&&self.me.daemon)
     }
 
     /// The one live member that decides on a subject in a failure domain; of all members where
     /// none of that domain is known.
     pub fn owner(&self, now: Timestamp, domain: &FailureDomain, subject: &impl Hash) -> Owner {
-        let of_domain = hash::top(subject, self.on_duty(now, domain), 1);
+        let of_domain = hash::highest_weighted(subject, self.on_duty(now, domain), 1);
         let owner = of_domain.into_iter().next().or_else(|| {
             let all = self.alive(now).filter(|peer| !peer.leaving);
             let all = all.chain([&self.me]).map(|peer| &peer.daemon);
-            hash::top(subject, all, 1).into_iter().next()
+            hash::highest_weighted(subject, all, 1).into_iter().next()
         });
         owner
             .and_then(|daemon| self.address_of(now, daemon))
@@ -388,7 +388,7 @@
             .map(|peer| &peer.failure_domain)
             .chain([&self.me.failure_domain])
             .collect();
-        let domain = hash::top(subject, domains.into_iter(), 1);
+        let domain = hash::highest_weighted(subject, domains.into_iter(), 1);
         domain
             .first()
             .map_or(Owner::Me, |domain| self.owner(now, domain, subject))
@@ -402,7 +402,7 @@
         duty: &str,
         count: usize,
     ) -> Vec<Address> {
-        hash::top(&duty, self.on_duty(now, domain), count)
+        hash::highest_weighted(&duty, self.on_duty(now, domain), count)
             .into_iter()
             .filter_map(|daemon| self.address_of(now, daemon))
             .collect()
--- a/shalehinge/src/core/mod.rs
+++ b/shalehinge/src/core/mod.rs
@@ -23,7 +23,7 @@
 //! - `controller`, `placement`: which hosts form which replica
 //! - `change`, `operator`: plans that operators confirm
 //! - `claims`: requests that may run at most once
-//! - `named_limit`: what upstreams in need say of the requests that they take
+//! - `advertised_limit`: what upstreams in need say of the requests that they take
 //! - `permits`: permits to send to these
 //! - `signal`: all that upstreams state about themselves in an answer
 //! - `trials`: trials of requests that may crash the upstreams that run them
@@ -31,6 +31,7 @@
 //! - `route_config`: routes and models as they are configured
 //! - `routes`: which route a relayed request takes
 
+pub mod advertised_limit;
 pub mod change;
 pub mod claims;
 pub mod controller;
@@ -45,7 +46,6 @@
 pub mod hash;
 pub mod lease;
 pub mod membership;
-pub mod named_limit;
 pub mod objects;
 pub mod operator;
 pub mod permits;
--- a/shalehinge/src/core/objects.rs
+++ b/shalehinge/src/core/objects.rs
@@ -19,7 +19,7 @@
 };
 
 /// How many past operation ids an object remembers for read-backs.
-pub const RECENT_OPERATIONS: usize = 32;
+pub const MAX_RECENT_OPERATIONS: usize = 32;
 
 /// Names an object in the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
 impl ObjectKey {
     /// Whether only daemons write it, so that one in another form may be overwritten.
-    pub fn is_written_here(&self) -> bool {
+    pub fn is_written_by_daemons(&self) -> bool {
         matches!(self, Self::Assignment(_) | Self::Lease(_) | Self::Claims(_))
     }
 }
@@ -128,10 +128,10 @@
 pub struct RecentOperations(Vec<OperationId>);
 
 impl RecentOperations {
-    /// Notes an operation and forgets the oldest beyond [`RECENT_OPERATIONS`].
+    /// Notes an operation and forgets the oldest beyond [`MAX_RECENT_OPERATIONS`].
     pub fn record(&mut self, operation: OperationId) {
         self.0.push(operation);
-        if self.0.len() > RECENT_OPERATIONS {
+        if self.0.len() > MAX_RECENT_OPERATIONS {
             self.0.remove(0);
         }
     }
@@ -312,13 +312,13 @@
     /// list tells.
     pub fn open_group(&self) -> Option<(GroupNumber, &ModelName)> {
         let status = self.status.as_ref()?;
-        let (number, model) = self.standing_group()?;
+        let (number, model) = self.intact_group()?;
         status.shows_open(number).then_some((number, model))
     }
 
     /// The group that this host joined, and its model, where the list tells and the group
     /// is not broken.
-    pub fn standing_group(&self) -> Option<(GroupNumber, &ModelName)> {
+    pub fn intact_group(&self) -> Option<(GroupNumber, &ModelName)> {
         let status = self.status.as_ref()?;
         let number = status.group.filter(|number| status.shows_member(*number))?;
         let held = status.held.as_ref()?;
@@ -414,10 +414,10 @@
 pub enum AssignmentError {
     /// A host stands in two places.
     #[error("host {0} is in two groups")]
-    HostTwice(HostId),
+    DuplicateHost(HostId),
     /// A group number is not below the next one.
     #[error("group {0:?} is not below the next group number")]
-    NumberTooHigh(GroupNumber),
+    GroupNumberTooHigh(GroupNumber),
 }
 
 impl Default for Assignment {
@@ -442,24 +442,24 @@
         let mut seen = BTreeSet::new();
         for (number, group) in &self.groups {
             if *number >= self.next_group {
-                return Err(AssignmentError::NumberTooHigh(*number));
+                return Err(AssignmentError::GroupNumberTooHigh(*number));
             }
             for member in &group.members {
                 if !seen.insert(&member.host) {
-                    return Err(AssignmentError::HostTwice(member.host.clone()));
+                    return Err(AssignmentError::DuplicateHost(member.host.clone()));
                 }
             }
         }
         for host in self.releasing.keys() {
             if !seen.insert(host) {
-                return Err(AssignmentError::HostTwice(host.clone()));
+                return Err(AssignmentError::DuplicateHost(host.clone()));
             }
         }
         Ok(())
     }
 
     /// Whether the host is in a group or still leaving one.
-    pub fn uses(&self, host: &HostId) -> bool {
+    pub fn is_in_use(&self, host: &HostId) -> bool {
         self.releasing.contains_key(host) || self.groups.values().any(|group| group.contains(host))
     }
 
--- a/shalehinge/src/core/operator.rs
+++ b/shalehinge/src/core/operator.rs
@@ -20,7 +20,7 @@
 use super::types::{FailureDomain, OperationId, Timestamp, Version};
 
 /// How long a confirm tries to learn what became of its write.
-const READ_BACK_FOR: Duration = Duration::from_secs(10);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Identifies a call of an operator, so that its answer finds back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -100,13 +100,13 @@
 struct Session {
     call: OperatorCall,
     stage: Stage,
-    give_up_at: Timestamp,
+    read_back_until: Timestamp,
 }
 
 /// The operators' calls that a daemon works on.
 #[derive(Clone, Debug, Default)]
-pub struct Operators {
-    sessions: BTreeMap<OperatorCallId, Session>,
+pub struct OperatorCalls {
+    sessions_by_call: BTreeMap<OperatorCallId, Session>,
 }
 
 /// What a call needs next.
@@ -118,7 +118,7 @@
     Answer(OperatorAnswer),
 }
 
-impl Operators {
+impl OperatorCalls {
     /// Takes in a call.
     pub fn begin(
         &mut self,
@@ -129,10 +129,10 @@
         let session = Session {
             call,
             stage: Stage::Reading,
-            give_up_at: now + READ_BACK_FOR,
+            read_back_until: now + READ_BACK_TIMEOUT,
         };
-        self.sessions.insert(id, session);
-        OperatorStep::Platform(fresh_list())
+        self.sessions_by_call.insert(id, session);
+        OperatorStep::Platform(exact_list_call())
     }
 
     /// The platform answered a call made for `id`. `state` has the answer in it.
@@ -143,10 +143,10 @@
         result: &PlatformResult,
         state: &FleetState,
     ) -> Option<OperatorStep> {
-        let session = self.sessions.get_mut(&id)?;
+        let session = self.sessions_by_call.get_mut(&id)?;
         let step = session.advance(now, result, state);
         if matches!(step, OperatorStep::Answer(_)) {
-            self.sessions.remove(&id);
+            self.sessions_by_call.remove(&id);
         }
         Some(step)
     }
@@ -159,46 +159,46 @@
         result: &PlatformResult,
         state: &FleetState,
     ) -> OperatorStep {
-        let is_over = now >= self.give_up_at;
+        let is_timed_out = now >= self.read_back_until;
         match (&self.stage, result) {
-            (Stage::Reading, Ok(_)) => self.decide(state),
+            (Stage::Reading, Ok(_)) => self.handle_fresh_objects(state),
             (Stage::Reading, Err(_)) => OperatorStep::Answer(OperatorAnswer::PlatformUnavailable),
             (Stage::Writing(_), Ok(PlatformReply::Written(version))) => {
                 OperatorStep::Answer(OperatorAnswer::Confirmed { version: *version })
             }
             (Stage::Writing(written), _) => {
                 self.stage = Stage::ReadingBack(written.clone());
-                OperatorStep::Platform(fresh_list())
+                OperatorStep::Platform(exact_list_call())
             }
             (Stage::ReadingBack(written), Ok(_)) => {
                 let written = written.clone();
-                self.decide_written(is_over, written, state)
+                self.resolve_unclear_write(is_timed_out, written, state)
             }
-            (Stage::ReadingBack(_), Err(_)) if is_over => {
+            (Stage::ReadingBack(_), Err(_)) if is_timed_out => {
                 OperatorStep::Answer(OperatorAnswer::Unclear)
             }
-            (Stage::ReadingBack(_), Err(_)) => OperatorStep::Platform(fresh_list()),
+            (Stage::ReadingBack(_), Err(_)) => OperatorStep::Platform(exact_list_call()),
         }
     }
 
     /// From fresh objects: answer a plan, or write a confirm.
-    fn decide(&mut self, state: &FleetState) -> OperatorStep {
-        let known = Known::from(state);
+    fn handle_fresh_objects(&mut self, state: &FleetState) -> OperatorStep {
+        let inputs = PlanInputs::from(state);
         let confirm = match &self.call {
-            OperatorCall::Plan(change) => return OperatorStep::Answer(known.answer_plan(change)),
+            OperatorCall::Plan(change) => return OperatorStep::Answer(inputs.answer_plan(change)),
             OperatorCall::Confirm(confirm) => confirm,
         };
-        if known.fleet.operations.contains(confirm.operation) {
-            return confirmed(known.version);
+        if inputs.fleet.operations.contains(confirm.operation) {
+            return confirmed_step(inputs.version);
         }
-        let plan = match known.plan(&confirm.change) {
+        let plan = match inputs.plan(&confirm.change) {
             Ok(plan) => plan,
             Err(error) => return OperatorStep::Answer(OperatorAnswer::Refused(error)),
         };
-        if known.version != confirm.base || plan.digest != confirm.digest {
-            return out_of_date(known.version, Some(plan));
+        if inputs.version != confirm.base || plan.digest != confirm.digest {
+            return out_of_date_step(inputs.version, Some(plan));
         }
-        let mut fleet = match confirm.change.apply(&known.fleet, &known.hosts) {
+        let mut fleet = match confirm.change.apply(&inputs.fleet, &inputs.hosts) {
             Ok(fleet) => fleet,
             Err(error) => return OperatorStep::Answer(OperatorAnswer::Refused(error)),
         };
@@ -212,24 +212,24 @@
     /// the one that the write was conditional on, it may yet take effect, so
     /// nothing else may be said: the same write is sent again. Under one version
     /// it takes effect once at most.
-    fn decide_written(
+    fn resolve_unclear_write(
         &mut self,
-        is_over: bool,
+        is_timed_out: bool,
         written: Box<FleetConfig>,
         state: &FleetState,
     ) -> OperatorStep {
         let OperatorCall::Confirm(confirm) = &self.call else {
             return OperatorStep::Answer(OperatorAnswer::Unclear);
         };
-        let known = Known::from(state);
-        if known.fleet.operations.contains(confirm.operation) {
-            return confirmed(known.version);
+        let inputs = PlanInputs::from(state);
+        if inputs.fleet.operations.contains(confirm.operation) {
+            return confirmed_step(inputs.version);
         }
-        if known.version > confirm.base {
-            let plan = known.plan(&confirm.change).ok();
-            return out_of_date(known.version, plan);
+        if inputs.version > confirm.base {
+            let plan = inputs.plan(&confirm.change).ok();
+            return out_of_date_step(inputs.version, plan);
         }
-        if is_over {
+        if is_timed_out {
             return OperatorStep::Answer(OperatorAnswer::Unclear);
         }
         let base = confirm.base;
@@ -246,24 +246,24 @@
     }
 }
 
-fn confirmed(version: Version) -> OperatorStep {
+fn confirmed_step(version: Version) -> OperatorStep {
     OperatorStep::Answer(OperatorAnswer::Confirmed { version })
 }
 
-fn out_of_date(version: Version, plan: Option<Plan>) -> OperatorStep {
+fn out_of_date_step(version: Version, plan: Option<Plan>) -> OperatorStep {
     let plan = plan.map(Box::new);
     OperatorStep::Answer(OperatorAnswer::OutOfDate { version, plan })
 }
 
 /// The objects that a plan is made from.
-struct Known {
+struct PlanInputs {
     version: Version,
     fleet: FleetConfig,
     hosts: HostList,
     assignments: BTreeMap<FailureDomain, Assignment>,
 }
 
-impl Known {
+impl PlanInputs {
     fn from(state: &FleetState) -> Self {
         let hosts = state.hosts().map(|o| o.value.clone()).unwrap_or_default();
         let mut assignments: BTreeMap<FailureDomain, Assignment> = hosts
@@ -302,13 +302,17 @@
         Ok(Plan {
             change: change.clone(),
             base: self.version,
-            digest: digest(change, self.version, &effects),
+            digest: plan_digest(change, self.version, &effects),
             effects,
         })
     }
 }
 
-fn digest(change: &Change, base: Version, effects: &BTreeMap<FailureDomain, Effects>) -> String {
+fn plan_digest(
+    change: &Change,
+    base: Version,
+    effects: &BTreeMap<FailureDomain, Effects>,
+) -> String {
     let text = format!("{change:?} {base:?} {effects:?}");
     hex(&Sha256::digest(text.as_bytes()))
 }
@@ -319,7 +323,7 @@
 }
 
 /// Plans are made and confirmed on what the platform holds now.
-fn fresh_list() -> PlatformCall {
+fn exact_list_call() -> PlatformCall {
     PlatformCall::List {
         scope: Scope::Shared,
         freshness: Freshness::Exact,
--- a/shalehinge/src/core/permits.rs
+++ b/shalehinge/src/core/permits.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::named_limit::RequestRate;
+use super::advertised_limit::RequestRate;
 use super::router::request::UpstreamId;
 use super::types::{Address, EngineStart, FailureDomain, Timestamp};
 
--- a/shalehinge/src/core/platform.rs
+++ b/shalehinge/src/core/platform.rs
@@ -107,7 +107,7 @@
 
 impl PlatformCall {
     /// The era on whose versions the answer rests; none for a call that names no version.
-    pub fn rests_on(&self) -> Option<StoreEra> {
+    pub fn base_era(&self) -> Option<StoreEra> {
         match self {
             Self::Put { expect, .. } => Some(expect.era),
             Self::Watch { after, .. } => Some(after.era),
--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::core::named_limit::{NamedLimit, RequestRate};
+use crate::core::advertised_limit::{AdvertisedLimit, RequestRate};
 use crate::core::permits::{LimitReport, PermitGrant, at_once, effective};
 use crate::core::signal::UpstreamSignal;
 use crate::core::types::{EngineStart, Timestamp};
@@ -71,7 +71,7 @@
         signal: UpstreamSignal,
         out: &mut Vec<RouterAction>,
     ) {
-        if !signal.is_success() && signal.limit == NamedLimit::None {
+        if !signal.is_success() && signal.limit == AdvertisedLimit::None {
             return;
         }
         let Some(change) = self.limit.hear(now, sent_at, signal.limit) else {
--- a/shalehinge/src/core/router/named.rs
+++ b/shalehinge/src/core/router/named.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::core::named_limit::{NamedLimit, RequestRate};
+use crate::core::advertised_limit::{AdvertisedLimit, RequestRate};
 use crate::core::permits::PERMIT_TIME;
 use crate::core::types::Timestamp;
 
@@ -86,14 +86,14 @@
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
-        limit: NamedLimit,
+        limit: AdvertisedLimit,
     ) -> Option<LimitChange> {
         let was_unreadable = std::mem::replace(&mut self.is_unreadable, false);
         match limit {
-            NamedLimit::Rate(rate) => self.set(now, Some(rate)),
+            AdvertisedLimit::Rate(rate) => self.set(now, Some(rate)),
             // Answers overtake one another: this one may be from before the limit was named.
-            NamedLimit::None => self.set(sent_at, None),
-            NamedLimit::Unreadable(text) => {
+            AdvertisedLimit::None => self.set(sent_at, None),
+            AdvertisedLimit::Unreadable(text) => {
                 self.is_unreadable = true;
                 (!was_unreadable).then_some(LimitChange::Unreadable(text))
             }
--- a/shalehinge/src/core/router/topology.rs
+++ b/shalehinge/src/core/router/topology.rs
@@ -185,10 +185,11 @@
 }
 
 fn top_by_hash(specs: Vec<UpstreamSpec>, me: &DaemonId, count: usize) -> Vec<UpstreamSpec> {
-    let chosen: Vec<UpstreamId> = hash::top(me, specs.iter().map(|spec| &spec.id), count)
-        .into_iter()
-        .cloned()
-        .collect();
+    let chosen: Vec<UpstreamId> =
+        hash::highest_weighted(me, specs.iter().map(|spec| &spec.id), count)
+            .into_iter()
+            .cloned()
+            .collect();
     specs
         .into_iter()
         .filter(|spec| chosen.contains(&spec.id))
--- a/shalehinge/src/core/routes.rs
+++ b/shalehinge/src/core/routes.rs
@@ -12,9 +12,9 @@
 pub struct RouteTable {
     version: FleetVersion,
     // Looked up by key only, never iterated in an order that matters.
-    by_host: HashMap<String, Vec<RouteConfig>>,
-    customers: HashMap<String, KeyHolder>,
-    needs_keys: bool,
+    routes_by_host: HashMap<String, Vec<RouteConfig>>,
+    holders_by_key: HashMap<String, KeyHolder>,
+    requires_keys: bool,
     limits: Option<CallerLimits>,
 }
 
@@ -37,12 +37,12 @@
     /// SHA-256 of the caller's key in hexadecimal, if it sent one.
     pub key_sha256: Option<&'a str>,
     /// A number of the request's own that divides it between services.
-    pub spread: u64,
+    pub split_key: u64,
 }
 
 /// Where a request goes, and under which bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Routed {
+pub struct RouteMatch {
     /// The route's configuration.
     pub route: RouteConfig,
     /// The service chosen among the route's.
@@ -51,7 +51,7 @@
     pub holder: Option<KeyHolder>,
 }
 
-impl Routed {
+impl RouteMatch {
     /// Whether running the request twice does no harm.
     pub fn is_repeatable(&self) -> bool {
         match self.route.kind {
@@ -63,8 +63,8 @@
 
     /// Rank of the request: the customer's goes before the route's.
     pub fn rank(&self) -> u8 {
-        let own = self.holder.as_ref().and_then(|holder| holder.rank);
-        own.unwrap_or(self.route.rank)
+        let customer_rank = self.holder.as_ref().and_then(|holder| holder.rank);
+        customer_rank.unwrap_or(self.route.rank)
     }
 }
 
@@ -87,29 +87,31 @@
 impl RouteTable {
     /// The table of a configuration.
     pub fn new(version: FleetVersion, fleet: &FleetConfig) -> Self {
-        let mut by_host: HashMap<String, Vec<RouteConfig>> = HashMap::new();
+        let mut routes_by_host: HashMap<String, Vec<RouteConfig>> = HashMap::new();
         for route in &fleet.routes {
-            let routes = by_host.entry(route.host.to_ascii_lowercase()).or_default();
+            let routes = routes_by_host
+                .entry(route.host.to_ascii_lowercase())
+                .or_default();
             routes.push(route.clone());
         }
-        for routes in by_host.values_mut() {
+        for routes in routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let mut customers = HashMap::new();
+        let mut holders_by_key = HashMap::new();
         for (customer, config) in &fleet.customers {
             for key in &config.key_sha256 {
                 let holder = KeyHolder {
                     customer: customer.clone(),
                     rank: config.rank,
                 };
-                customers.insert(key.to_ascii_lowercase(), holder);
+                holders_by_key.insert(key.to_ascii_lowercase(), holder);
             }
         }
         Self {
             version,
-            by_host,
-            customers,
-            needs_keys: !fleet.customers.is_empty(),
+            routes_by_host,
+            holders_by_key,
+            requires_keys: !fleet.customers.is_empty(),
             limits: fleet.caller_limits,
         }
     }
@@ -126,20 +128,20 @@
 
     /// Who holds a key.
     pub fn holder(&self, key_sha256: &str) -> Option<&KeyHolder> {
-        self.customers.get(key_sha256)
+        self.holders_by_key.get(key_sha256)
     }
 
     /// Where a request goes.
-    pub fn find(&self, query: RouteQuery<'_>) -> Result<Routed, RouteRefusal> {
+    pub fn find(&self, query: RouteQuery<'_>) -> Result<RouteMatch, RouteRefusal> {
         let route = self.route(query.host, query.path);
         let route = route.ok_or(RouteRefusal::UnknownRoute)?;
         let holder = query.key_sha256.and_then(|key| self.holder(key));
-        let needs_key = self.needs_keys && !route.is_anonymous;
-        if needs_key && holder.is_none() {
+        let requires_key = self.requires_keys && !route.is_anonymous;
+        if requires_key && holder.is_none() {
             return Err(RouteRefusal::UnknownKey);
         }
-        let service = pick(route, query.spread).ok_or(RouteRefusal::UnknownRoute)?;
-        Ok(Routed {
+        let service = select_backend(route, query.split_key).ok_or(RouteRefusal::UnknownRoute)?;
+        Ok(RouteMatch {
             service: service.clone(),
             route: route.clone(),
             holder: holder.cloned(),
@@ -148,7 +150,7 @@
 
     fn route(&self, host: &str, path: &str) -> Option<&RouteConfig> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let routes = self.by_host.get(&name.to_ascii_lowercase())?;
+        let routes = self.routes_by_host.get(&name.to_ascii_lowercase())?;
         routes
             .iter()
             .find(|route| path.starts_with(&route.path_prefix))
@@ -156,18 +158,18 @@
 }
 
 /// The service that this number falls to, by the weights.
-fn pick(route: &RouteConfig, spread: u64) -> Option<&ServiceName> {
+fn select_backend(route: &RouteConfig, split_key: u64) -> Option<&ServiceName> {
     let total: u64 = route.backends.iter().map(|b| u64::from(b.weight)).sum();
     if total == 0 {
         return route.backends.first().map(|backend| &backend.service);
     }
-    let mut left = spread % total;
+    let mut remaining = split_key % total;
     for backend in &route.backends {
         let weight = u64::from(backend.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(&backend.service);
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
--- a/shalehinge/src/core/signal.rs
+++ b/shalehinge/src/core/signal.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use super::named_limit::{NamedLimit, kept_start};
+use super::advertised_limit::{AdvertisedLimit, truncate_for_log};
 
 /// Status of an upstream that takes no more requests from this daemon for now.
 const TOO_MANY_REQUESTS: u16 = 429;
@@ -15,7 +15,7 @@
     /// HTTP status of the answer.
     pub status: u16,
     /// Requests that it takes from all daemons together.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// How long it wants no requests from this daemon.
     pub cooldown: RequestedCooldown,
     /// Whether it is leaving.
@@ -24,10 +24,10 @@
 
 impl UpstreamSignal {
     /// An answer with this status that states nothing.
-    pub fn silent(status: u16) -> Self {
+    pub fn status_only(status: u16) -> Self {
         Self {
             status,
-            limit: NamedLimit::None,
+            limit: AdvertisedLimit::None,
             cooldown: RequestedCooldown::None,
             leaving: LeavingMark::Absent,
         }
@@ -41,7 +41,7 @@
     /// Whether a decision may depend on it. That no limit is named counts in a success alone: a
     /// refusal may come from a part of the upstream that doesn't know of the limit.
     pub fn is_relevant(&self) -> bool {
-        self.is_success() || *self != Self::silent(self.status)
+        self.is_success() || *self != Self::status_only(self.status)
     }
 }
 
@@ -60,7 +60,7 @@
     /// Reads all values of `Retry-After` (RFC 9110) in an answer with this status: seconds, also
     /// with a fraction, or a date, which counts against `answered_at`, the time of the answer by
     /// the upstream's clock. Other statuses than 429 and 503 ask for no cooldown.
-    pub fn read<'a>(
+    pub fn parse<'a>(
         status: u16,
         values: impl Iterator<Item = &'a str>,
         answered_at: impl FnOnce() -> SystemTime,
@@ -73,8 +73,8 @@
             SingleValue::Several(texts) => return Self::Unreadable(texts),
             SingleValue::One(text) => text,
         };
-        let time = seconds(text).or_else(|| time_until(text, answered_at()));
-        time.map_or_else(|| Self::Unreadable(kept_start(text)), Self::For)
+        let time = parse_seconds(text).or_else(|| parse_date_as_delay(text, answered_at()));
+        time.map_or_else(|| Self::Unreadable(truncate_for_log(text)), Self::For)
     }
 }
 
@@ -91,11 +91,11 @@
 
 impl LeavingMark {
     /// Reads all values of the header: `1` marks an upstream that is leaving.
-    pub fn read<'a>(values: impl Iterator<Item = &'a str>) -> Self {
+    pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         match single_value(values) {
             SingleValue::Absent | SingleValue::One("0") => Self::Absent,
             SingleValue::One("1") => Self::Leaving,
-            SingleValue::One(text) => Self::Unreadable(kept_start(text)),
+            SingleValue::One(text) => Self::Unreadable(truncate_for_log(text)),
             SingleValue::Several(texts) => Self::Unreadable(texts),
         }
     }
@@ -113,20 +113,20 @@
         return SingleValue::Absent;
     };
     match values.next() {
-        Some(second) => SingleValue::Several(kept_start(&format!("{first}, {second}"))),
+        Some(second) => SingleValue::Several(truncate_for_log(&format!("{first}, {second}"))),
         None => SingleValue::One(first.trim()),
     }
 }
 
 /// A decimal number of seconds; the number parser alone would also take words and exponents.
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let is_decimal = |c: char| c.is_ascii_digit() || c == '.';
     let text = Some(text).filter(|text| text.chars().all(is_decimal))?;
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
 /// The time until a date; none is left of a past one.
-fn time_until(text: &str, answered_at: SystemTime) -> Option<Duration> {
+fn parse_date_as_delay(text: &str, answered_at: SystemTime) -> Option<Duration> {
     let date = httpdate::parse_http_date(text).ok()?;
     Some(date.duration_since(answered_at).unwrap_or_default())
 }
--- a/shalehinge/src/core/types.rs
+++ b/shalehinge/src/core/types.rs
@@ -93,7 +93,7 @@
 
     /// The first of an era, above all of the eras before it.
     pub const fn first_of(era: StoreEra) -> Self {
-        Self(era.predecessors() * Self::PER_ERA)
+        Self(era.max_predecessors() * Self::PER_ERA)
     }
 
     /// The next one, in this era.
--- a/shalehinge/src/core/version.rs
+++ b/shalehinge/src/core/version.rs
@@ -34,7 +34,7 @@
     }
 
     /// How many eras may have been before it, at most.
-    pub const fn predecessors(self) -> u64 {
+    pub const fn max_predecessors(self) -> u64 {
         match self.0 {
             Some(number) => number as u64 + 1,
             None => 0,
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -17,7 +17,7 @@
 use crate::core::router::request::{
     Credential, NotRunReason, Outcome, RequestMeta, Target, UnknownReason,
 };
-use crate::core::routes::{RouteQuery, RouteRefusal, Routed, model_of_service};
+use crate::core::routes::{RouteMatch, RouteQuery, RouteRefusal, model_of_service};
 use crate::core::types::Customer;
 use crate::process::callers::CallerPart;
 use crate::upstream::attempt::{AnswerForm, AnswerPart, OutgoingRequest, WholeAnswer};
@@ -152,7 +152,7 @@
         host,
         path: conn.path(),
         key_sha256: credential.as_deref(),
-        spread,
+        split_key: spread,
     };
     let (routed, target, limits) = context
         .driver
@@ -232,7 +232,11 @@
 }
 
 /// A model of the service where it has models, the service itself otherwise.
-fn target_of(core: &crate::core::daemon::Daemon, routed: &Routed, model: Option<&str>) -> Target {
+fn target_of(
+    core: &crate::core::daemon::Daemon,
+    routed: &RouteMatch,
+    model: Option<&str>,
+) -> Target {
     let fleet = core.state().fleet();
     let has_models = fleet.is_some_and(|fleet| {
         let mut profiles = fleet.value.profiles.values();
--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -132,7 +132,7 @@
                         version,
                         value,
                     }))),
-                    Err(_) if key.is_written_here() => Ok(PlatformReply::Foreign(version)),
+                    Err(_) if key.is_written_by_daemons() => Ok(PlatformReply::Foreign(version)),
                     Err(error) => Err(error),
                 }
             }
--- a/shalehinge/src/peer/server.rs
+++ b/shalehinge/src/peer/server.rs
@@ -44,7 +44,7 @@
     let Some(notice) = read::<Notice>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
-    driver.dispatch(Event::Noticed(notice));
+    driver.dispatch(Event::NoticeReceived(notice));
     conn.with_status(Status::NoContent).halt()
 }
 
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -166,7 +166,7 @@
     pub async fn answer_pull(self: &Arc<Self>, pull: Pull) -> Option<PullReply> {
         let pull_id = PullId(self.next_id());
         let reply = self.pulls.add(pull_id);
-        self.dispatch(Event::PullAsked { pull_id, pull });
+        self.dispatch(Event::PullReceived { pull_id, pull });
         reply.recv().await.ok()
     }
 
@@ -181,7 +181,7 @@
                     driver.clients.peers.notify(to, &notice).await;
                 });
             }
-            Action::AskStatus {
+            Action::RequestStatus {
                 purpose,
                 host,
                 address,
@@ -193,7 +193,7 @@
                 valid_until,
             } => self.give_order(host, address, order, valid_until),
             Action::Send(attempt) => self.send(attempt),
-            Action::Abandon(attempt) => {
+            Action::CancelAttempt(attempt) => {
                 // Dropping the task closes the connection.
                 lock(&self.attempts).remove(&attempt);
             }
@@ -324,7 +324,7 @@
             if let Some(task) = lock(&driver.attempts).remove(&attempt.id) {
                 task.detach();
             }
-            driver.dispatch(Event::Ended {
+            driver.dispatch(Event::AttemptEnded {
                 request: attempt.request,
                 attempt: attempt.id,
                 end,
@@ -370,7 +370,8 @@
         let told_at = self.told_at.load(Ordering::Relaxed);
         let (request, attempt) = (self.attempt.request, self.attempt.id);
         if told_at == 0 {
-            self.driver.dispatch(Event::Output { request, attempt });
+            self.driver
+                .dispatch(Event::FirstOutput { request, attempt });
         } else if now >= told_at + PROGRESS_INTERVAL {
             self.driver.dispatch(Event::Progress { request, attempt });
         } else {
--- a/shalehinge/src/telemetry/logs.rs
+++ b/shalehinge/src/telemetry/logs.rs
@@ -40,5 +40,5 @@
 
 /// Writes a line of the core.
 pub fn write(line: &LogLine) {
-    log::info!(target: "shalehinge", "{}: {}", line.part.prefix(), line.text);
+    log::info!(target: "shalehinge", "{}: {}", line.component.prefix(), line.text);
 }
--- a/shalehinge/src/upstream/signal.rs
+++ b/shalehinge/src/upstream/signal.rs
@@ -4,7 +4,7 @@
 
 use trillium_client::{Conn, HeaderName, KnownHeaderName};
 
-use crate::core::named_limit::NamedLimit;
+use crate::core::advertised_limit::AdvertisedLimit;
 use crate::core::signal::{LeavingMark, RequestedCooldown, UpstreamSignal};
 
 /// Header by which an overloaded upstream names the requests a second that it takes from all
@@ -33,9 +33,9 @@
     let retry_after = values(conn, KnownHeaderName::RetryAfter);
     UpstreamSignal {
         status,
-        limit: NamedLimit::read(values(conn, names.limit)),
-        cooldown: RequestedCooldown::read(status, retry_after, || answered_at(conn)),
-        leaving: LeavingMark::read(values(conn, names.leaving)),
+        limit: AdvertisedLimit::parse(values(conn, names.limit)),
+        cooldown: RequestedCooldown::parse(status, retry_after, || answered_at(conn)),
+        leaving: LeavingMark::parse(values(conn, names.leaving)),
     }
 }
 
--- a/shalehinge/tests/named_limit.rs
+++ b/shalehinge/tests/advertised_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use shalehinge::core::named_limit::{NamedLimit, RequestRate};
+use shalehinge::core::advertised_limit::{AdvertisedLimit, RequestRate};
 use shalehinge::core::router::named::{LimitChange, LimitState};
 use shalehinge::core::types::Timestamp;
 
@@ -10,8 +10,8 @@
     RequestRate::per_second(value).expect("a rate")
 }
 
-fn read(values: &[&str]) -> NamedLimit {
-    NamedLimit::read(values.iter().copied())
+fn read(values: &[&str]) -> AdvertisedLimit {
+    AdvertisedLimit::parse(values.iter().copied())
 }
 
 fn at(seconds: u64) -> Timestamp {
@@ -27,9 +27,9 @@
         (" 50 ", 50.0),
         ("007", 7.0),
     ] {
-        assert_eq!(read(&[text]), NamedLimit::Rate(rate(value)));
+        assert_eq!(read(&[text]), AdvertisedLimit::Rate(rate(value)));
     }
-    assert_eq!(read(&[]), NamedLimit::None);
+    assert_eq!(read(&[]), AdvertisedLimit::None);
 }
 
 #[test]
@@ -41,12 +41,12 @@
     ] {
         let limit = read(&[text]);
         assert!(
-            matches!(limit, NamedLimit::Unreadable(_)),
+            matches!(limit, AdvertisedLimit::Unreadable(_)),
             "{text}: {limit:?}"
         );
     }
-    assert!(matches!(read(&["1", "2"]), NamedLimit::Unreadable(_)));
-    let NamedLimit::Unreadable(kept) = read(&[&"x".repeat(100_000)]) else {
+    assert!(matches!(read(&["1", "2"]), AdvertisedLimit::Unreadable(_)));
+    let AdvertisedLimit::Unreadable(kept) = read(&[&"x".repeat(100_000)]) else {
         panic!("it can't be read");
     };
     assert!(kept.len() <= 40, "the log stays bounded");
@@ -55,8 +55,8 @@
 #[test]
 fn a_limit_begins_changes_and_ends_with_a_line_each() {
     let mut state = LimitState::default();
-    let named = |value| NamedLimit::Rate(rate(value));
-    assert_eq!(state.hear(at(1), at(0), NamedLimit::None), None);
+    let named = |value| AdvertisedLimit::Rate(rate(value));
+    assert_eq!(state.hear(at(1), at(0), AdvertisedLimit::None), None);
     assert_eq!(
         state.hear(at(2), at(1), named(1.4)),
         Some(LimitChange::Begins(rate(1.4)))
@@ -73,7 +73,7 @@
     );
     assert_eq!(state.rate(), Some(rate(0.7)));
     assert_eq!(
-        state.hear(at(7), at(6), NamedLimit::None),
+        state.hear(at(7), at(6), AdvertisedLimit::None),
         Some(LimitChange::Ends)
     );
     assert_eq!(state.rate(), None);
@@ -82,16 +82,16 @@
 #[test]
 fn an_answer_to_a_request_from_before_a_limit_ends_nothing() {
     let mut state = LimitState::default();
-    state.hear(at(5), at(4), NamedLimit::Rate(rate(1.0)));
-    assert_eq!(state.hear(at(6), at(4), NamedLimit::None), None);
+    state.hear(at(5), at(4), AdvertisedLimit::Rate(rate(1.0)));
+    assert_eq!(state.hear(at(6), at(4), AdvertisedLimit::None), None);
     assert!(state.rate().is_some());
 }
 
 #[test]
 fn what_cannot_be_read_changes_nothing_and_makes_one_line() {
     let mut state = LimitState::default();
-    let garbled = || NamedLimit::Unreadable("x".to_owned());
-    state.hear(at(1), at(0), NamedLimit::Rate(rate(1.0)));
+    let garbled = || AdvertisedLimit::Unreadable("x".to_owned());
+    state.hear(at(1), at(0), AdvertisedLimit::Rate(rate(1.0)));
     assert!(state.hear(at(2), at(1), garbled()).is_some());
     assert_eq!(state.hear(at(3), at(2), garbled()), None);
     assert_eq!(state.rate(), Some(rate(1.0)));
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -243,7 +243,7 @@
         host,
         path,
         key_sha256: key,
-        spread: 0,
+        split_key: 0,
     }
 }
 
@@ -299,7 +299,7 @@
     let table = RouteTable::new(FleetVersion::NONE, &fleet(vec![split]));
     let to_y = (0..1_000).filter(|spread| {
         let query = RouteQuery {
-            spread: *spread,
+            split_key: *spread,
             ..query("h", "/a/", Some("good"))
         };
         table.find(query).expect("routed").service.as_str() == "y"
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use relay_support::scene::{Scene, group};
-use shalehinge::core::named_limit::RequestRate;
+use shalehinge::core::advertised_limit::RequestRate;
 use shalehinge::core::router::request::Outcome;
 
 /// Where the requests of a limited upstream are counted.
--- a/shalehinge/tests/operator.rs
+++ b/shalehinge/tests/operator.rs
@@ -8,7 +8,7 @@
     CustomerConfig, FleetConfig, HostList, HostRecord, HostState, Object, ObjectKey,
 };
 use shalehinge::core::operator::{
-    Confirm, OperatorAnswer, OperatorCall, OperatorCallId, OperatorStep, Operators, Plan,
+    Confirm, OperatorAnswer, OperatorCall, OperatorCallId, OperatorCalls, OperatorStep, Plan,
 };
 use shalehinge::core::platform::{
     Freshness, NoAnswer, PlatformCall, PlatformReply, PlatformResult, Scope,
@@ -88,7 +88,7 @@
 }
 
 fn plan(state: &FleetState) -> Plan {
-    let mut operators = Operators::default();
+    let mut operators = OperatorCalls::default();
     operators.begin(at(0), ID, OperatorCall::Plan(intent()));
     match operators.on_platform(at(0), ID, &listed(), state) {
         Some(OperatorStep::Answer(OperatorAnswer::Planned(plan))) => *plan,
@@ -114,8 +114,8 @@
 }
 
 /// A confirm whose write was sent and whose answer was lost.
-fn with_unclear_write(state: &FleetState) -> Operators {
-    let mut operators = Operators::default();
+fn with_unclear_write(state: &FleetState) -> OperatorCalls {
+    let mut operators = OperatorCalls::default();
     operators.begin(at(0), ID, confirm(plan(state)));
     let step = operators.on_platform(at(0), ID, &listed(), state);
     assert!(is_write(step.as_ref()), "{step:?}");
@@ -181,7 +181,7 @@
     let mut state = fleet_of(4, 3);
     let call = confirm(plan(&state));
     add_hosts(&mut state, 9, 2);
-    let mut operators = Operators::default();
+    let mut operators = OperatorCalls::default();
     operators.begin(at(0), ID, call);
     let step = operators.on_platform(at(0), ID, &listed(), &state);
     let is_out_of_date = matches!(
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -205,7 +205,9 @@
     domain.run_until("all serve without it", |domain| {
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
-    assert!(!domain.stored.value.uses(&dark) || domain.stored.value.releasing.contains_key(&dark));
+    assert!(
+        !domain.stored.value.is_in_use(&dark) || domain.stored.value.releasing.contains_key(&dark)
+    );
 }
 
 #[test]
--- a/shalehinge/tests/permits.rs
+++ b/shalehinge/tests/permits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use shalehinge::core::named_limit::RequestRate;
+use shalehinge::core::advertised_limit::RequestRate;
 use shalehinge::core::permits::{Granted, LimitReport, PermitOwner};
 use shalehinge::core::router::request::UpstreamId;
 use shalehinge::core::types::{
--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use shalehinge::core::advertised_limit::RequestRate;
 use shalehinge::core::daemon::{Daemon, Identity, TICK};
 use shalehinge::core::event::{Action, Event, Pull, PullId, PullReply, PullTopic, Timeouts};
-use shalehinge::core::named_limit::RequestRate;
 use shalehinge::core::platform::{CallId, NoAnswer, PlatformCall};
 use shalehinge::core::router::request::Outcome;
 use shalehinge::core::types::{
@@ -337,7 +337,7 @@
                 self.next_event += 1;
                 let pull_id = PullId(self.next_event);
                 self.pulls.insert(pull_id, (index, now, pull.clone()));
-                self.later(Duration::ZERO, peer, Event::PullAsked { pull_id, pull });
+                self.later(Duration::ZERO, peer, Event::PullReceived { pull_id, pull });
             }
             Action::AnswerPull { pull_id, reply } => self.answer_pull(index, pull_id, reply),
             Action::Send(attempt) => self.run_attempt(index, &attempt),
@@ -350,7 +350,7 @@
                 let peer = to.port() as usize;
                 self.notices += 1;
                 if !self.is_cut(index, peer) {
-                    self.later(TICK, peer, Event::Noticed(notice));
+                    self.later(TICK, peer, Event::NoticeReceived(notice));
                 }
             }
             Action::Answer { request, outcome } if self.finishing.remove(&request) => {
--- a/shalehinge/tests/relay_support/upstreams.rs
+++ b/shalehinge/tests/relay_support/upstreams.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use shalehinge::core::advertised_limit::AdvertisedLimit;
 use shalehinge::core::daemon::TICK;
 use shalehinge::core::event::Event;
 use shalehinge::core::fingerprint::Fingerprint;
-use shalehinge::core::named_limit::NamedLimit;
 use shalehinge::core::router::request::{Attempt, AttemptEnd, RequestMeta, Target};
 use shalehinge::core::signal::{LeavingMark, RequestedCooldown, UpstreamSignal};
 use shalehinge::core::types::{Customer, GroupNumber, RequestId, Timestamp};
@@ -79,7 +79,7 @@
         if self.crashing.contains(&request) {
             self.crashes += 1;
             let end = AttemptEnd::Lost;
-            let event = Event::Ended {
+            let event = Event::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -87,7 +87,7 @@
             self.later(TICK, index, event);
             return;
         }
-        self.later(TICK, index, Event::Output { request, attempt });
+        self.later(TICK, index, Event::FirstOutput { request, attempt });
     }
 
     /// The upstream runs an attempt, and says in the head of its answer what it takes.
@@ -104,11 +104,11 @@
             return;
         }
         let limit = self.limits.get(&group).copied();
-        let limit = limit.map_or(NamedLimit::None, NamedLimit::Rate);
+        let limit = limit.map_or(AdvertisedLimit::None, AdvertisedLimit::Rate);
         let signal = UpstreamSignal {
             limit,
             leaving: self.mark_of(group),
-            ..UpstreamSignal::silent(200)
+            ..UpstreamSignal::status_only(200)
         };
         let named = Event::Signal {
             request,
@@ -116,9 +116,9 @@
             signal,
         };
         self.later(TICK, index, named);
-        self.later(TICK, index, Event::Output { request, attempt });
+        self.later(TICK, index, Event::FirstOutput { request, attempt });
         let end = AttemptEnd::Completed { output_tokens: 20 };
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             request,
             attempt,
             end,
@@ -146,7 +146,7 @@
         let signal = UpstreamSignal {
             cooldown: RequestedCooldown::For(cooldown),
             leaving: self.mark_of(group),
-            ..UpstreamSignal::silent(503)
+            ..UpstreamSignal::status_only(503)
         };
         let head = Event::Signal {
             request,
@@ -154,7 +154,7 @@
             signal,
         };
         self.later(TICK, daemon, head);
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             request,
             attempt,
             end: AttemptEnd::Refused,
--- a/shalehinge/tests/signal.rs
+++ b/shalehinge/tests/signal.rs
@@ -14,7 +14,7 @@
 }
 
 fn read(status: u16, values: &[&str]) -> RequestedCooldown {
-    RequestedCooldown::read(status, values.iter().copied(), answered_at)
+    RequestedCooldown::parse(status, values.iter().copied(), answered_at)
 }
 
 fn seconds(value: f64) -> RequestedCooldown {
@@ -131,7 +131,7 @@
 
 #[test]
 fn only_a_one_marks_an_upstream_that_is_leaving() {
-    let read = |values: &[&str]| LeavingMark::read(values.iter().copied());
+    let read = |values: &[&str]| LeavingMark::parse(values.iter().copied());
     assert_eq!(read(&[" 1 "]), LeavingMark::Leaving);
     assert_eq!(read(&["0"]), LeavingMark::Absent);
     assert_eq!(read(&[]), LeavingMark::Absent);
@@ -165,11 +165,14 @@
 
 #[test]
 fn a_failure_that_states_nothing_is_not_passed_on() {
-    assert!(UpstreamSignal::silent(200).is_relevant(), "it ends a limit");
-    assert!(!UpstreamSignal::silent(503).is_relevant());
+    assert!(
+        UpstreamSignal::status_only(200).is_relevant(),
+        "it ends a limit"
+    );
+    assert!(!UpstreamSignal::status_only(503).is_relevant());
     let leaving = UpstreamSignal {
         leaving: LeavingMark::Leaving,
-        ..UpstreamSignal::silent(500)
+        ..UpstreamSignal::status_only(500)
     };
     assert!(leaving.is_relevant());
 }
--- a/shalehinge/tests/signal_fuzz.rs
+++ b/shalehinge/tests/signal_fuzz.rs
@@ -6,8 +6,8 @@
 use bolero::{ValueGenerator, generator::bolero_generator::driver};
 use rand::SeedableRng;
 use rand::rngs::{SmallRng, StdRng};
+use shalehinge::core::advertised_limit::AdvertisedLimit;
 use shalehinge::core::fingerprint::Fingerprint;
-use shalehinge::core::named_limit::NamedLimit;
 use shalehinge::core::router::request::{
     Attempt, AttemptEnd, Outcome, RequestMeta, Target, UpstreamId,
 };
@@ -197,7 +197,7 @@
             Step::Wait(ticks) => self.wait(usize::from(ticks % 16)),
             Step::Complete(index) => {
                 if let Some(attempt) = self.pick(index) {
-                    self.end(&attempt, UpstreamSignal::silent(200), whole);
+                    self.end(&attempt, UpstreamSignal::status_only(200), whole);
                 }
             }
             Step::Output(index) => {
@@ -207,7 +207,7 @@
             }
             Step::Lose(index) => {
                 if let Some(attempt) = self.pick(index) {
-                    self.end(&attempt, UpstreamSignal::silent(500), AttemptEnd::Lost);
+                    self.end(&attempt, UpstreamSignal::status_only(500), AttemptEnd::Lost);
                 }
             }
             Step::TurnAway(index, length) => self.turn_away(index, length),
@@ -217,7 +217,7 @@
                     let leaving = LeavingMark::Leaving;
                     let signal = UpstreamSignal {
                         leaving,
-                        ..UpstreamSignal::silent(200)
+                        ..UpstreamSignal::status_only(200)
                     };
                     self.end(&attempt, signal, whole);
                 }
@@ -237,7 +237,7 @@
         *until = (*until).max(self.now + cooldown);
         let signal = UpstreamSignal {
             cooldown: RequestedCooldown::For(cooldown),
-            ..UpstreamSignal::silent(503)
+            ..UpstreamSignal::status_only(503)
         };
         self.end(&attempt, signal, AttemptEnd::Refused);
     }
@@ -259,7 +259,7 @@
             );
             while let Some(attempt) = self.pick(0) {
                 used.insert(attempt.upstream.clone());
-                self.end(&attempt, UpstreamSignal::silent(200), whole);
+                self.end(&attempt, UpstreamSignal::status_only(200), whole);
             }
             self.wait(1);
         }
@@ -310,9 +310,9 @@
             continue;
         };
         let texts = || values.iter().map(String::as_str);
-        let _ = NamedLimit::read(texts());
-        let _ = LeavingMark::read(texts());
-        let _ = RequestedCooldown::read(status, texts(), || SystemTime::UNIX_EPOCH);
-        let _ = RequestedCooldown::read(503, texts(), SystemTime::now);
+        let _ = AdvertisedLimit::parse(texts());
+        let _ = LeavingMark::parse(texts());
+        let _ = RequestedCooldown::parse(status, texts(), || SystemTime::UNIX_EPOCH);
+        let _ = RequestedCooldown::parse(503, texts(), SystemTime::now);
     }
 }
--- a/shalehinge/tests/superseded.rs
+++ b/shalehinge/tests/superseded.rs
@@ -155,7 +155,7 @@
 }
 
 fn notice(port: u16, version: u64) -> Event {
-    Event::Noticed(Notice {
+    Event::NoticeReceived(Notice {
         from: address(port),
         digest: digest(version),
         lost: Vec::new(),
@@ -175,7 +175,7 @@
         host: "h",
         path: "/x",
         key_sha256: None,
-        spread: 0,
+        split_key: 0,
     };
     match daemon.route(now, query) {
         Ok(_) => true,
--- a/shalehinge/tests/support/apply.rs
+++ b/shalehinge/tests/support/apply.rs
@@ -176,7 +176,7 @@
                 if entry_runs(&self.entries[index].running, *attempt, request) {
                     continue;
                 }
-                let event = Event::Ended {
+                let event = Event::AttemptEnded {
                     request,
                     attempt: *attempt,
                     end: AttemptEnd::Completed { output_tokens: 1 },
--- a/shalehinge/tests/support/fabric.rs
+++ b/shalehinge/tests/support/fabric.rs
@@ -234,7 +234,7 @@
         end: AttemptEnd,
         delay: Duration,
     ) {
-        let event = Event::Ended {
+        let event = Event::AttemptEnded {
             request: attempt.request,
             attempt: attempt.id,
             end,
--- a/shalehinge/tests/support/world.rs
+++ b/shalehinge/tests/support/world.rs
@@ -390,7 +390,7 @@
                 }
             }
             Action::Notify { to, notice } => self.notify(index, to, notice),
-            Action::AskStatus {
+            Action::RequestStatus {
                 purpose,
                 host: _,
                 address,
@@ -413,7 +413,7 @@
                 }
             }
             Action::Send(attempt) => self.send_attempt(index, run, attempt),
-            Action::Abandon(attempt) => self.abandon(index, attempt),
+            Action::CancelAttempt(attempt) => self.abandon(index, attempt),
             Action::CheckUpstream { upstream, .. } => {
                 // As if each lost attempt were a crash: nothing may hang on it.
                 let is_gone = true;
@@ -571,7 +571,7 @@
             delay,
             target,
             target_run,
-            Event::PullAsked { pull_id, pull },
+            Event::PullReceived { pull_id, pull },
         );
     }
 
@@ -587,7 +587,7 @@
         let copies = 1 + u32::from(self.rng.random_bool(0.2));
         for _ in 0..copies {
             let delay = self.delay();
-            self.send_to_entry(delay, target, run, Event::Noticed(notice.clone()));
+            self.send_to_entry(delay, target, run, Event::NoticeReceived(notice.clone()));
         }
     }
 
