--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -21,14 +21,14 @@
 PROTECTIONS = {
     "a-later-era-is-newer": (
         CORE + "version.rs",
-        "pub struct Version {\n    /// The era in which it was reported.\n    pub era: StoreEra,\n    /// The store's number; 0 for an object that does not exist.\n    pub number: u64,",
-        "pub struct Version {\n    /// The store's number; 0 for an object that does not exist.\n    pub number: u64,\n    /// The era in which it was reported.\n    pub era: StoreEra,",
+        "pub struct Version {\n    /// The store era in which the version was reported.\n    pub era: StoreEra,\n    /// The store's revision number; 0 for an object that does not exist.\n    pub number: u64,",
+        "pub struct Version {\n    /// The store's revision number; 0 for an object that does not exist.\n    pub number: u64,\n    /// The store era in which the version was reported.\n    pub era: StoreEra,",
         "restored_platform", "nine_daemons",
     ),
     "the-writers-number-goes-first": (
         CORE + "version.rs",
-        "    /// The number that its writer gave it; 0 where writers give none.\n    pub generation: u64,\n    /// The store's version of it.\n    pub stored: Version,",
-        "    /// The store's version of it.\n    pub stored: Version,\n    /// The number that its writer gave it; 0 where writers give none.\n    pub generation: u64,",
+        "    /// Number assigned by the writer; 0 where writers assign none.\n    pub generation: u64,\n    /// Version assigned by the store.\n    pub stored: Version,",
+        "    /// Version assigned by the store.\n    pub stored: Version,\n    /// Number assigned by the writer; 0 where writers assign none.\n    pub generation: u64,",
         "restored_platform", "stays_in_force",
     ),
     "a-watch-across-eras-is-no-answer": (
--- a/shalehinge/src/core/advertised_limit.rs
+++ b/shalehinge/src/core/advertised_limit.rs
@@ -1,26 +1,27 @@
-//! What an upstream in need says in its answers of the requests that it takes.
+//! Rate limits that overloaded upstreams state in their responses.
 //!
-//! It names a rate for all daemons together, for as long as it says so.
+//! The stated rate applies to all daemons together, until a response no longer states it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest part of a text that can't be read which is kept for the log, in characters.
+/// Maximum length of an invalid header value in the log, in characters.
 const MAX_LOGGED_CHARS: usize = 40;
 
-/// Requests a second that an upstream takes from all daemons together; finite and not negative.
+/// Requests per second that an upstream accepts from all daemons together; finite and not
+/// negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// A rate of so many requests a second; `None` if that is no rate.
+    /// A rate in requests per second; `None` if the value is negative, infinite or not a number.
     pub fn per_second(value: f64) -> Option<Self> {
         (value.is_finite() && value >= 0.0).then_some(Self(value))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -30,7 +31,7 @@
     type Error = &'static str;
 
     fn try_from(value: f64) -> Result<Self, Self::Error> {
-        Self::per_second(value).ok_or("a rate of requests is finite and not negative")
+        Self::per_second(value).ok_or("a request rate must be finite and not negative")
     }
 }
 
@@ -46,20 +47,20 @@
     }
 }
 
-/// What one answer says of its upstream's limit.
+/// The rate limit that one response states for its upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdvertisedLimit {
-    /// Nothing: it takes as many as it can run.
+    /// No limit is stated: the upstream accepts as many requests as it can run.
     None,
-    /// It takes so many.
+    /// The upstream accepts requests up to this rate.
     Rate(RequestRate),
-    /// It says something that is no rate: the text, or the start of it.
+    /// The header value is not a valid rate; contains the start of the value for the log.
     Unreadable(String),
 }
 
 impl AdvertisedLimit {
-    /// Reads all values of the header. A decimal number is a limit; what is named twice, or is
-    /// no number of requests, is none.
+    /// Parses all values of the header. A single decimal number is a limit; a repeated header or
+    /// any other value is [`AdvertisedLimit::Unreadable`].
     pub fn parse<'a>(mut values: impl Iterator<Item = &'a str>) -> Self {
         let Some(text) = values.next() else {
             return Self::None;
@@ -69,7 +70,7 @@
         }
         let text = text.trim();
         let is_decimal = |c: char| c.is_ascii_digit() || c == '.';
-        // The number parser also takes words such as "inf" and exponents.
+        // The float parser would also accept words such as "inf" and exponents.
         let rate = Some(text)
             .filter(|text| text.chars().all(is_decimal))
             .and_then(|text| text.parse().ok())
@@ -82,7 +83,7 @@
     AdvertisedLimit::Unreadable(truncate_for_log(text))
 }
 
-/// The start of a text that can't be read, for the log.
+/// Cuts an invalid header value to [`MAX_LOGGED_CHARS`] characters, to bound the log line.
 pub(super) fn truncate_for_log(text: &str) -> String {
     text.chars().take(MAX_LOGGED_CHARS).collect()
 }
--- a/shalehinge/src/core/change.rs
+++ b/shalehinge/src/core/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators ask for, and how each alters the configuration.
+//! Configuration changes that operators request, and how each is applied.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,60 +6,61 @@
 use super::placement::divide::{divide, room};
 use super::types::{Customer, HostId, ModelName, ModelVersion};
 
-/// Most hosts that a replica may span.
+/// Maximum number of hosts per replica.
 pub const MAX_HOSTS_PER_REPLICA: u32 = 32;
 
-/// What an operator wants changed.
+/// A configuration change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Serve a model with so many replicas, for a customer's share.
+    /// Serve a model with a number of replicas, charged to a customer's share.
     Intent {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// Version to run.
+        /// Version that its replicas run.
         version: ModelVersion,
-        /// Replicas over all failure domains.
+        /// Number of replicas over all failure domains.
         replicas: u32,
-        /// Hosts that form one replica.
+        /// Number of hosts per replica, 1 to [`MAX_HOSTS_PER_REPLICA`].
         hosts_per_replica: u32,
-        /// Customer whose share of the hosts they count against.
+        /// Customer whose share of the accelerators the hosts count against.
         owner: Customer,
     },
-    /// Serve a model no longer.
+    /// Stop serving a model.
     Remove {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
     },
-    /// Give a customer another share.
+    /// Change a customer's share.
     Share {
-        /// The customer.
+        /// Name of the customer.
         customer: Customer,
-        /// Its weight against the others.
+        /// Weight of the customer relative to the others, at least 1.
         share: u32,
     },
-    /// Bring all replicas of a model to a version.
+    /// Roll all replicas of a model to a version.
     Roll {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// Version to run.
+        /// Version that its replicas run.
         version: ModelVersion,
     },
-    /// Take a host out of use.
+    /// Drain a host: its running requests finish, and it gets no new work.
     Drain {
-        /// The host.
+        /// Name of the host.
         host: HostId,
     },
-    /// Take a host into use again.
+    /// End the draining of a host.
     Undrain {
-        /// The host.
+        /// Name of the host.
         host: HostId,
     },
-    /// Replace customers, services and weights; models and drains stay.
+    /// Replace customers, services and placement weights; models and drained hosts stay as they
+    /// are.
     Configure(Box<Configuration>),
 }
 
-/// The part of the configuration that is written as a file.
+/// The part of the configuration that operators provide as a file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
@@ -69,16 +70,16 @@
     #[serde(default)]
     pub services:
         std::collections::BTreeMap<super::types::ServiceName, super::objects::ServiceConfig>,
-    /// Weights of placement.
+    /// Weights of the placement objectives.
     #[serde(default)]
     pub weights: PlacementWeights,
 }
 
-/// Why a change can't be planned. Each says what to do.
+/// Why a change can't be planned. Most messages say what the operator can do about it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum ChangeError {
     /// The model is not in the configuration.
-    #[error("there is no model {0}; state an intent for it first")]
+    #[error("there is no model {0}; create it with an intent first")]
     UnknownModel(ModelName),
     /// The customer is not in the configuration.
     #[error("there is no customer {0}; add it to the configuration first")]
@@ -86,22 +87,22 @@
     /// The host is not in the platform's list.
     #[error("the platform lists no host {0}; see `shalehinge status` for its hosts")]
     UnknownHost(HostId),
-    /// The number of hosts is out of bounds.
-    #[error("a replica spans 1 to {MAX_HOSTS_PER_REPLICA} hosts, not {0}")]
+    /// The number of hosts per replica is out of range.
+    #[error("a replica must span 1 to {MAX_HOSTS_PER_REPLICA} hosts, not {0}")]
     HostsPerReplica(u32),
-    /// A share of nothing.
-    #[error("a share is at least 1")]
+    /// A share is 0.
+    #[error("a share must be at least 1")]
     ZeroShare,
-    /// Paths of services must start with a slash.
+    /// The path prefix of a service doesn't start with a slash, is `/`, or is below `/v1/`.
     #[error("the path {0:?} of a service must start with '/' and must not be below /v1/")]
     ServicePath(String),
-    /// A key hash that is none.
-    #[error("{0:?} is not a SHA-256 in 64 hexadecimal digits; make one with `sha256sum`")]
+    /// A key hash is not a SHA-256 in hexadecimal.
+    #[error("{0:?} is not a SHA-256 in 64 hexadecimal digits; create one with `sha256sum`")]
     KeyHash(String),
 }
 
 impl Change {
-    /// The configuration after the change.
+    /// Returns the configuration after the change, or why the change is invalid.
     pub fn apply(&self, fleet: &FleetConfig, hosts: &HostList) -> Result<FleetConfig, ChangeError> {
         let mut changed = fleet.clone();
         match self {
--- a/shalehinge/src/core/engine.rs
+++ b/shalehinge/src/core/engine.rs
@@ -1,7 +1,7 @@
-//! Messages between a daemon and the engine on a host: orders and status.
+//! Messages between a daemon and the engine on a host: orders and status reports.
 //!
-//! Orders carry absolute state, so that repeating one changes nothing. Engines
-//! that check fences refuse an order that is older than one they have taken.
+//! Orders state the target state, so they are idempotent. Engines that check fences reject an
+//! order that is older than one they have accepted.
 
 use std::fmt;
 
@@ -14,32 +14,32 @@
 /// An order to the engine on one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Failure domain whose lease holder sends it.
+    /// Failure domain whose lease holder sends the order.
     pub failure_domain: FailureDomain,
-    /// Epoch of that lease.
+    /// Epoch of that lease; serves as the fencing token.
     pub epoch: Epoch,
-    /// The group that the order is about.
+    /// The group that the order concerns.
     pub group: GroupNumber,
-    /// What to do.
+    /// The command to carry out.
     pub command: Command,
 }
 
-/// What an engine is to do.
+/// Command to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Command {
-    /// Load a model as one rank of the group.
+    /// Join the group as one rank and load its model.
     Load(LoadCommand),
-    /// Begin to take requests; to rank 0 of a group whose members are all ready.
+    /// Start to accept requests; sent to rank 0 of a group whose members are all ready.
     Open,
-    /// Load a model onto the host, beside whatever it does.
+    /// Load a model's weights onto the host in the background.
     Stage {
         /// Model to load.
         model: ModelName,
     },
     /// Leave the group.
     Release {
-        /// Finish running requests first.
+        /// Whether to finish running requests first.
         drain: bool,
     },
 }
@@ -56,35 +56,36 @@
     }
 }
 
-/// What to load, and as which part of the group.
+/// What to load, and the engine's position in the group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadCommand {
     /// Model to load.
     pub model: ModelName,
     /// Version to load.
     pub version: ModelVersion,
-    /// Position in the group; rank 0 takes the requests.
+    /// Rank within the group; rank 0 takes the requests.
     pub rank: u32,
-    /// Addresses of all members by rank.
+    /// Addresses of all members, in order of rank.
     pub members: Vec<Address>,
-    /// Names of all members by rank.
+    /// Names of all members, in order of rank; empty if the sender states none.
     #[serde(default)]
     pub hosts: Vec<HostId>,
 }
 
-/// Order of precedence of orders: an engine takes none that is below the last.
+/// Precedence of an order: an engine rejects every order whose fence is lower than that of the
+/// last one it accepted. Members are compared in the order of their declaration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence {
     /// Epoch of the sender's lease.
     pub epoch: Epoch,
-    /// Group of the order.
+    /// Group that the order concerns.
     pub group: GroupNumber,
-    /// Whether the order was a release: it comes after any load of its group.
+    /// Whether the order is a release, which takes precedence over a load for the same group.
     pub release: bool,
 }
 
 impl Order {
-    /// The order's place among others.
+    /// The fence of the order.
     pub fn fence(&self) -> Fence {
         Fence {
             epoch: self.epoch,
@@ -94,88 +95,88 @@
     }
 }
 
-/// An engine's answer to an order.
+/// An engine's reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Whether the order was taken; false means that a newer one was taken before.
+    /// Whether the order was accepted; if not, a newer one had been accepted before.
     pub accepted: bool,
-    /// The state after the order.
+    /// The engine's status after the order.
     pub status: EngineStatus,
 }
 
-/// State of the engine on a host.
+/// Status report of the engine on a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
     /// The host.
     pub host: HostId,
-    /// What the engine is doing.
+    /// Current phase of the engine.
     pub phase: EnginePhase,
-    /// The group it belongs to, unless idle.
+    /// The group that the engine belongs to; `None` when idle.
     pub group: Option<GroupNumber>,
-    /// Weights in memory, also when idle.
+    /// The model whose weights are in memory, also when idle.
     pub held: Option<HeldModel>,
-    /// Members of the group that rank 0 sees ready, itself among them.
+    /// Number of members that rank 0 sees ready, including itself.
     pub members_present: u32,
-    /// Members that the group has.
+    /// Total number of members of the group.
     pub member_count: u32,
-    /// How long ago rank 0 looked at the members, in milliseconds by its own
-    /// monotonic clock. An engine that was paused tells here that it was.
+    /// How long ago rank 0 last checked the members, in milliseconds by its own monotonic clock. A
+    /// high value shows that the engine was paused.
     #[serde(default)]
     pub members_age_ms: u64,
-    /// Load; all zero but at rank 0.
+    /// Load of the replica; all zero except at rank 0.
     pub load: EngineLoad,
-    /// When the engine started, where it tells.
+    /// Start time of the engine, if it reports one.
     #[serde(default)]
     pub started: Option<EngineStart>,
 }
 
-/// Weights in an engine's memory.
+/// The model whose weights are in an engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldModel {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Its version.
+    /// Version of the model.
     pub version: ModelVersion,
 }
 
-/// What an engine is doing.
+/// Phase of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EnginePhase {
-    /// In no group.
+    /// Member of no group.
     Idle,
-    /// Loads weights.
+    /// Loading weights.
     Loading,
-    /// Ready to serve as its rank.
+    /// Ready to serve in its rank.
     Ready,
-    /// Takes requests; only engines that wait for the order to open tell this.
+    /// Accepting requests; only reported by engines that wait for [`Command::Open`].
     Serving,
-    /// Lost a member and can't serve any more.
+    /// The group lost a member and can no longer serve.
     Broken,
-    /// Finishes its requests before it leaves the group.
+    /// Finishing running requests before leaving the group.
     Draining,
 }
 
-/// Load of a replica as its rank 0 reports it. It lags behind the truth.
+/// Load of a replica as reported by its rank 0. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests in the batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a slot or for KV memory.
+    /// Number of requests that wait for a batch slot or for KV cache memory.
     pub waiting: u32,
-    /// Slots of the batch.
+    /// Number of batch slots.
     pub slots: u32,
-    /// KV memory in use, in tokens.
+    /// KV cache memory in use, in tokens.
     pub kv_used: u64,
-    /// KV memory in all, in tokens.
+    /// Total KV cache memory, in tokens.
     pub kv_total: u64,
-    /// How old these figures are, in milliseconds, where the engine tells.
+    /// Age of these figures in milliseconds, if the engine reports it.
     #[serde(default)]
     pub age_ms: Option<u64>,
 }
 
 impl EngineStatus {
-    /// Whether this shows that the group is complete and serves.
+    /// Whether the report shows that all members of the group are present and ready.
     pub fn shows_complete(&self, group: GroupNumber) -> bool {
         self.group == Some(group)
             && self.phase == EnginePhase::Ready
@@ -183,23 +184,23 @@
             && self.members_present == self.member_count
     }
 
-    /// Whether this shows that the host is a member of the group, on its way or ready.
+    /// Whether the report shows the host as a member of the group, in any phase but broken.
     pub fn shows_member(&self, group: GroupNumber) -> bool {
         self.group == Some(group) && self.phase != EnginePhase::Broken
     }
 
-    /// Whether this shows that the host is ready as a member of the group.
+    /// Whether the report shows the host as a ready member of the group.
     pub fn shows_ready(&self, group: GroupNumber) -> bool {
         let is_ready = matches!(self.phase, EnginePhase::Ready | EnginePhase::Serving);
         self.group == Some(group) && is_ready
     }
 
-    /// Whether this shows that rank 0 of the group takes requests.
+    /// Whether the report shows that the host accepts requests as rank 0 of the group.
     pub fn shows_open(&self, group: GroupNumber) -> bool {
         self.group == Some(group) && self.phase == EnginePhase::Serving
     }
 
-    /// Whether this shows that the host has left the group.
+    /// Whether the report shows that the host is not, or no longer, a member of the group.
     pub fn shows_released(&self, group: GroupNumber) -> bool {
         self.group != Some(group)
     }
--- a/shalehinge/src/core/event.rs
+++ b/shalehinge/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a daemon's decisions and what comes out.
+//! Events that drive a daemon's decisions, actions that result from them, and peer messages.
 
 use std::time::Duration;
 
@@ -19,258 +19,262 @@
     Address, AttemptId, GroupNumber, HostId, ReplicaId, RequestId, Timestamp, Version,
 };
 
-/// Identifies a peer's pull that waits for its answer.
+/// Identifies a peer's pull request that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PullId(pub u64);
 
-/// A daemon asks a peer for what is new.
+/// Request of a daemon to a peer for newer state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
-    /// What the asker knows of the members.
+    /// The sender's view of the membership.
     pub gossip: Gossip,
-    /// What the asker wants to know.
+    /// Which state is requested.
     pub topic: PullTopic,
-    /// Versions that the asker knows.
+    /// Object versions that the sender has.
     pub digest: VersionDigest,
-    /// Replicas that the asker saw lose a member; for whoever holds their domain.
+    /// Replicas that the sender saw lose a member; meant for the lease holder of their failure
+    /// domain.
     pub suspects: Vec<ReplicaId>,
-    /// What arrived at the asker and others; only where members are asked for too.
+    /// Load that arrived at the sender and at other daemons; only with [`PullTopic::All`].
     #[serde(default)]
     pub work: Vec<WorkReport>,
 }
 
-/// What a pull is about.
+/// Which state a pull requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullTopic {
-    /// Members and objects.
+    /// Membership and objects.
     All,
-    /// Objects alone: asked often, so that messages are to be small.
+    /// Objects alone; pulled often, so messages must be small.
     Objects,
-    /// Which replicas of the asker's failure domain bring output.
+    /// Replicas of the sender's failure domain that recently produced output.
     Moving,
-    /// Objects that are told whole: asked of one peer at a time, as they may be large.
+    /// Objects sent in full rather than as changes; pulled from one peer at a time, as they may
+    /// be large.
     WholeObjects,
 }
 
-/// The answer to a pull.
+/// Reply to a pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullReply {
-    /// What the answerer knows of the members.
+    /// The replying daemon's view of the membership.
     pub gossip: Gossip,
-    /// Versions of the objects in force there.
+    /// Versions of the objects in force at the replying daemon.
     pub digest: VersionDigest,
-    /// Objects that are newer there, as far as the topic asks for them.
+    /// Objects that are newer at the replying daemon, as far as the topic covers them.
     pub updates: Vec<ObjectUpdate>,
-    /// How long ago the platform last confirmed the configuration that is in force
-    /// there, in milliseconds; counted from before the platform was asked.
+    /// How long ago the platform last confirmed the configuration in force at the replying
+    /// daemon, in milliseconds, measured from before the platform was queried.
     #[serde(default)]
     pub confirmed_ms_ago: Option<u64>,
-    /// How long ago the platform last answered whoever the host list there comes from, in
-    /// milliseconds.
+    /// How long ago the platform last answered the daemon from which the replying daemon's host
+    /// list originates, in milliseconds.
     #[serde(default)]
     pub hosts_ms_ago: Option<u64>,
-    /// The newest revision that the platform is known there to have reached.
+    /// The newest store revision known to the replying daemon.
     #[serde(default)]
     pub reached: Option<ReachedRevision>,
-    /// What arrived at the answerer and others; only where members were asked for too.
+    /// Load that arrived at the replying daemon and at others; only for [`PullTopic::All`].
     #[serde(default)]
     pub work: Vec<WorkReport>,
-    /// Replicas of the asker's failure domain that brought the answerer output lately; only
-    /// where they were asked for.
+    /// Replicas of the pulling daemon's failure domain from which the replying daemon recently
+    /// received output; only for [`PullTopic::Moving`].
     #[serde(default)]
     pub moving: Vec<LastOutput>,
-    /// Requests in quarantine; only where members were asked for too.
+    /// Requests in quarantine; only for [`PullTopic::All`].
     #[serde(default)]
     pub quarantine: QuarantineReport,
 }
 
-/// What is known of requests that crash the upstreams that run them; ages in milliseconds,
-/// rounded up.
+/// State exchanged about requests that crash the upstreams that run them. Ages are in
+/// milliseconds, rounded up.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
-    /// Attempts that broke off, for those who count them.
+    /// Attempts lost without a response, for the daemons that count them.
     pub losses: Vec<LossReport>,
     /// Requests in quarantine.
     pub quarantined: Vec<QuarantinedReport>,
-    /// Requests that must not be in quarantine.
+    /// Requests that completed and therefore must not be quarantined.
     pub completions: Vec<CompletionReport>,
-    /// To the owner of a target's trials.
+    /// Trial requests to the daemon that owns the target's trials.
     pub trials_asked: Vec<TrialRequest>,
-    /// Of that owner.
+    /// Trials granted by that daemon.
     pub trials_granted: Vec<TrialGrant>,
 }
 
-/// An attempt that broke off at an upstream, without an answer.
+/// An attempt whose upstream was lost before it answered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossReport {
-    /// What was asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Where it ran, or might have.
+    /// The upstream that ran it, or may have run it.
     pub upstream: UpstreamId,
-    /// How long ago it broke off.
+    /// How long ago the attempt was lost, in milliseconds.
     pub ms_ago: u64,
 }
 
 /// A request in quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedReport {
-    /// What is asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long ago the first of the losses was that decided it.
+    /// Age of the first of the losses that led to the quarantine, in milliseconds.
     pub first_lost_ms_ago: u64,
-    /// How long ago the last of them was.
+    /// Age of the last of these losses, in milliseconds.
     pub last_lost_ms_ago: u64,
-    /// Whether it was proven by a trial, or is only suspected.
+    /// Whether a trial proved that the request crashes upstreams; otherwise it is suspected.
     pub is_proven: bool,
 }
 
-/// A request that an upstream answered.
+/// A request that an upstream answered completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionReport {
-    /// What was asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long ago the answer was whole.
+    /// How long ago the response was complete, in milliseconds.
     pub ms_ago: u64,
 }
 
-/// When a replica last brought a daemon output.
+/// When a daemon last received output from a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastOutput {
     /// The replica.
     pub replica: ReplicaId,
-    /// How long ago, in milliseconds, rounded up.
+    /// Age of the output in milliseconds, rounded up.
     pub ms_ago: u64,
 }
 
-/// That the platform had reached a revision.
+/// A revision that the platform's store had reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReachedRevision {
     /// The revision.
     pub revision: Version,
-    /// How long ago it was asked, in milliseconds.
+    /// How long ago the platform was queried, in milliseconds.
     pub ms_ago: u64,
 }
 
-/// A rumour: there is something new, come and pull it.
+/// Gossip notice that newer state is available to pull.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Where to pull from.
+    /// Address of the sender, from which the state can be pulled.
     pub from: Address,
-    /// Versions known there.
+    /// Object versions that the sender has.
     pub digest: VersionDigest,
-    /// Replicas that surely lost a member, by whoever holds their failure domain.
+    /// Replicas that have lost a member, as established by the lease holder of their failure
+    /// domain.
     #[serde(default)]
     pub lost: Vec<ReplicaId>,
-    /// What is new of requests that crash the upstreams that run them.
+    /// News about requests that crash the upstreams that run them.
     #[serde(default)]
     pub quarantine: QuarantineReport,
-    /// What is new of upstreams that name how many requests they take.
+    /// News about upstreams that advertise a rate limit.
     #[serde(default)]
     pub limits: LimitsNotice,
 }
 
-/// What daemons tell each other of limits that upstreams name.
+/// Messages between daemons about rate limits that upstreams advertise. Each limit is owned by
+/// one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitsNotice {
-    /// To a limit's owner: what an answer said.
+    /// To a limit's owner: limits stated in responses.
     pub told: Vec<LimitReport>,
-    /// To a limit's owner: who asks for permits.
+    /// To a limit's owner: requests for permits.
     pub asked: Vec<PermitRequest>,
-    /// Of a limit's owner: limits that began or ended.
+    /// From a limit's owner: limits that began or ended.
     pub in_force: Vec<LimitReport>,
-    /// Of a limit's owner: permits.
+    /// From a limit's owner: granted permits.
     pub granted: Vec<PermitGrant>,
 }
 
-/// Who asked for an engine's status.
+/// Which module requested an engine's status, and for what.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusPurpose {
-    /// The router, for a load report.
+    /// The router, to learn an upstream's load.
     Report(UpstreamId),
-    /// The controller, for a group's health.
+    /// The controller, to check a group's health.
     Probe(GroupNumber),
 }
 
-/// Something happened.
+/// Input to a daemon's decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time passed; given about every [`super::daemon::TICK`].
+    /// Time passed; sent about every [`super::daemon::TICK`].
     Tick,
-    /// The platform answered, or did not.
+    /// A platform call completed or failed.
     Platform {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// The answer.
+        /// The reply, or that none came.
         result: PlatformResult,
     },
-    /// A peer pulls.
+    /// A peer sent a pull.
     PullReceived {
-        /// Where the answer goes.
+        /// Identifies the pull in the reply.
         pull_id: PullId,
-        /// What it sent.
+        /// The pull.
         pull: Pull,
     },
-    /// A peer answered a pull, or did not.
+    /// A pull from a peer completed or failed.
     PullAnswered {
-        /// What was asked.
+        /// The topic of the pull.
         topic: PullTopic,
-        /// When it was asked.
+        /// When the pull was sent.
         asked_at: Timestamp,
-        /// The answer.
+        /// The reply; `None` if the peer did not answer.
         reply: Option<PullReply>,
     },
-    /// A peer told that there is something new.
+    /// A peer sent a notice.
     NoticeReceived(Notice),
-    /// An engine told its status, or did not answer.
+    /// A status request to an engine completed or failed.
     Status {
-        /// Who asked.
+        /// Why the status was requested.
         purpose: StatusPurpose,
-        /// When it was asked.
+        /// When the status was requested.
         asked_at: Timestamp,
-        /// Which host.
+        /// The engine's host, where it is known.
         host: Option<HostId>,
-        /// The status.
+        /// The status; `None` if the engine did not answer.
         status: Option<EngineStatus>,
     },
-    /// An engine answered an order, or did not.
+    /// An order to an engine completed or failed.
     OrderAnswered {
         /// The host.
         host: HostId,
         /// The order.
         order: Order,
-        /// When it was sent.
+        /// When the order was sent.
         asked_at: Timestamp,
-        /// The answer.
+        /// The reply; `None` if the engine did not answer.
         reply: Option<OrderReply>,
     },
-    /// A caller's request came, of a customer that is known.
+    /// A request arrived from a caller whose customer is known.
     Request {
-        /// Its number, chosen by the shell.
+        /// Id assigned by the process that drives the core.
         request: RequestId,
-        /// What the core needs of it.
+        /// The request's properties that the core needs.
         meta: RequestMeta,
     },
-    /// The first output of an attempt went to the caller.
+    /// The first output of an attempt was passed to the caller.
     FirstOutput {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An attempt whose output had begun brought more of it.
+    /// An attempt that had begun to produce output produced more.
     Progress {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The head of an attempt's answer came.
+    /// The response head of an attempt arrived.
     Signal {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// What it states about the upstream.
+        /// What the response head states about the upstream.
         signal: UpstreamSignal,
     },
     /// An attempt ended.
@@ -279,147 +283,148 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// It was looked whether an upstream is still there.
+    /// The connection check of an upstream completed.
     UpstreamChecked {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Whether its host refused the connection, as nothing listens there any more. An
-        /// upstream that nobody hears from may be cut off, which says nothing of a request.
+        /// Whether its host refused the connection, as no process listens there any more. An
+        /// upstream that does not respond may just be unreachable, which is no evidence that a
+        /// request crashed it.
         is_gone: bool,
     },
-    /// A caller left before its answer.
+    /// A caller disconnected before it received its answer.
     CallerLeft(RequestId),
-    /// An operator asks.
+    /// An operator's call arrived.
     Operator {
-        /// Where the answer goes.
+        /// Identifies the call in the answer.
         call_id: OperatorCallId,
-        /// What is asked.
+        /// The call.
         call: OperatorCall,
     },
-    /// The daemon will stop soon: it is no longer ready and takes no duties.
+    /// The daemon will stop soon: it reports itself as not ready and takes on no more duties.
     Leave,
-    /// The daemon is to stop once its requests are done.
+    /// The daemon is to stop once its running requests have ended.
     Stop,
 }
 
-/// Something to do.
+/// Output of a daemon's decisions, to be carried out by the process that drives the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Call the platform.
     Platform {
-        /// Which call.
+        /// Identifies the call in [`Event::Platform`].
         call: CallId,
-        /// What to ask.
+        /// The call.
         request: PlatformCall,
     },
-    /// Pull from a peer.
+    /// Send a pull to a peer.
     Pull {
-        /// Where.
+        /// The peer's address.
         to: Address,
-        /// What to send.
+        /// The pull.
         pull: Pull,
     },
-    /// Answer a peer's pull.
+    /// Reply to a peer's pull.
     AnswerPull {
-        /// Which one.
+        /// The pull that is answered.
         pull_id: PullId,
-        /// The answer.
+        /// The reply.
         reply: PullReply,
     },
-    /// Tell a peer that there is something new.
+    /// Send a notice to a peer.
     Notify {
-        /// Where.
+        /// The peer's address.
         to: Address,
-        /// The rumour.
+        /// The notice.
         notice: Notice,
     },
-    /// Ask an engine for its status.
+    /// Request an engine's status; answered by [`Event::Status`].
     RequestStatus {
-        /// Who asks.
+        /// Why the status is requested.
         purpose: StatusPurpose,
-        /// Which host, where it is known.
+        /// The engine's host, where it is known.
         host: Option<HostId>,
-        /// Where it listens.
+        /// Address at which the engine listens.
         address: Address,
     },
-    /// Send an order to an engine, but not at or after `valid_until`.
+    /// Send an order to an engine, unless `valid_until` has been reached.
     Order {
         /// The host.
         host: HostId,
-        /// Where it listens.
+        /// Address at which the engine listens.
         address: Address,
         /// The order.
         order: Order,
-        /// The lease ends then.
+        /// When the lease under which the order is given ends.
         valid_until: Timestamp,
     },
     /// Send a request to an upstream.
     Send(Attempt),
-    /// Break off an attempt.
+    /// Cancel a running attempt.
     CancelAttempt(AttemptId),
-    /// Look whether an upstream is still there; always answered by
+    /// Check whether an upstream still accepts connections; always answered by
     /// [`Event::UpstreamChecked`].
     CheckUpstream {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Where it listened.
+        /// Address at which it listened.
         address: Address,
     },
-    /// Give a caller its final answer.
+    /// Send the final answer to a caller.
     Answer {
         /// The request.
         request: RequestId,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: Outcome,
     },
     /// Answer an operator.
     AnswerOperator {
-        /// Which call.
+        /// The call that is answered.
         call_id: OperatorCallId,
         /// The answer.
         answer: OperatorAnswer,
     },
     /// Write a line to the log.
     Log(LogLine),
-    /// All requests are done; the process may end.
+    /// All requests have ended; the process may exit.
     Stopped,
 }
 
-/// A line for the log.
+/// One line of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Which part says it.
+    /// The component that logs the line.
     pub component: Component,
-    /// What it says.
+    /// The message, without the component's prefix.
     pub text: String,
 }
 
-/// Parts of a daemon, each with its prefix in the log.
+/// Components of a daemon, each with a log prefix of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Component {
     /// Routing decisions.
     Route,
     /// Placement decisions.
     Place,
-    /// The control lease.
+    /// Acquisition and loss of control leases.
     Lease,
-    /// The platform's store.
+    /// The platform's store and its eras.
     Platform,
-    /// Accepted configuration.
+    /// Configuration and other objects that come into force.
     Config,
-    /// Operators' calls.
+    /// Calls of operators.
     Operator,
-    /// Claims of keys.
+    /// Claims of idempotency keys.
     Claim,
-    /// Start and stop.
+    /// Start and stop of the daemon.
     Daemon,
 }
 
 impl Component {
-    /// The prefix of its lines.
+    /// The prefix of the component's log lines.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::Route => "route",
@@ -434,14 +439,14 @@
     }
 }
 
-/// Times that say how long the daemon waits for others.
+/// How long the daemon waits for responses from other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// For a call to the platform.
+    /// Timeout of a call to the platform.
     pub platform: Duration,
-    /// For a status or an order.
+    /// Timeout of a status request or an order to an engine.
     pub engine: Duration,
-    /// For a peer.
+    /// Timeout of a pull from, or a notice to, a peer.
     pub peer: Duration,
 }
 
--- a/shalehinge/src/core/fingerprint.rs
+++ b/shalehinge/src/core/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What a request asks, the same however often and wherever it comes.
+//! Content fingerprints, which identify a request that is sent again.
 //!
-//! A caller that sends a request again gives it a new id, mostly at another daemon. Only what
-//! it asks shows that it is the same.
+//! A caller that repeats a request gives it a new id and usually sends it to another daemon. Only
+//! the content shows that it is the same request.
 
 use std::fmt;
 
@@ -10,19 +10,20 @@
 
 use super::types::Customer;
 
-/// Bytes of the start and of the end of a body that count, besides its length. Hashing
-/// both takes less than a millisecond of a quarter core, and a body of megabytes would hold up
+/// Number of bytes hashed at each end of a body, in addition to its length. Hashing both ends
+/// takes less than 1 ms on a quarter of a core; hashing a body of several megabytes would delay
 /// all other requests of the daemon.
 const HASHED_BYTES_PER_END: usize = 32 * 1024;
 
-/// Names what a request asks: customer, method, path and body. It is cut from a SHA-256, as
-/// with a weaker hash a customer could make requests that pass for those of another one.
+/// Identifies the content of a request: customer, method, path and body. It is a truncated
+/// SHA-256, as a weaker hash would let a customer forge requests that collide with those of
+/// another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request; `path` includes host and query as far as they count.
+    /// The fingerprint of a request; `path` includes host and query as far as they are relevant.
     pub fn of(customer: &Customer, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [customer.as_str(), method, path] {
--- a/shalehinge/src/core/hash.rs
+++ b/shalehinge/src/core/hash.rs
@@ -1,13 +1,13 @@
-//! Rendezvous hashing: who of the live members is responsible for what.
+//! Rendezvous hashing, which assigns responsibilities to live members.
 //!
-//! Nothing that must be safe depends on it; two daemons that see different
-//! members only do some work twice.
+//! No safety property depends on it: if two daemons see different members, some work is merely
+//! done twice.
 
 use std::hash::{Hash, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Weight of `member` for `subject`; the highest weight is responsible.
+/// Weight of `member` for `subject`; the member with the highest weight is responsible.
 pub fn rendezvous_weight(subject: &impl Hash, member: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     subject.hash(&mut hasher);
@@ -15,7 +15,7 @@
     hasher.finish()
 }
 
-/// The `count` members with the highest weight for `subject`, highest first.
+/// The `count` members with the highest weights for `subject`, in descending order.
 pub fn highest_weighted<M: Hash + Ord>(
     subject: &impl Hash,
     members: impl Iterator<Item = M>,
--- a/shalehinge/src/core/mod.rs
+++ b/shalehinge/src/core/mod.rs
@@ -1,35 +1,34 @@
-//! The decisions of a daemon, without input or output.
+//! The decision logic of a daemon, free of I/O.
 //!
-//! No sockets, files, clocks, threads or async: typed events go in, typed
-//! actions come out, time and randomness are passed in. [`daemon::Daemon`] is
-//! the one entry to all of it.
+//! It uses no sockets, files, clocks, threads or async code. It takes typed events and returns
+//! typed actions; time and randomness are passed in. [`daemon::Daemon`] is the only entry point.
 //!
-//! - `types`: identifiers and time
-//! - `version`: versions of what is kept, and the eras of the store that gave them out
-//! - `objects`: what is kept in the platform
-//! - `platform`, `engine`: messages to the platform and to engines
-//! - `event`: what goes in, what comes out
-//! - `daemon`: the whole of a daemon's decisions
-//! - `feed`: one part of what the platform keeps, listed and watched
-//! - `superseded`: since when a newer configuration is known of
-//! - `whole_fetch`: whom a daemon asks for large objects
-//! - `earlier_hosts`: hosts as an earlier era of the store reported them
-//! - `routable_hosts`: the part of the host list that routing needs
-//! - `fingerprint`: what a request asks, the same each time that it comes
-//! - `fleet_state`: the newest objects known, which never revert
-//! - `membership`, `hash`: which daemons live, and who does what
-//! - `lease`: who acts for a failure domain
-//! - `demand`: the work that callers ask of each model
+//! - `types`: identifiers and monotonic time
+//! - `version`: object versions, and the store eras in which they were assigned
+//! - `objects`: the objects stored in the platform
+//! - `platform`, `engine`: messages exchanged with the platform and with engines
+//! - `event`: input events and output actions
+//! - `daemon`: the state machine that combines all modules
+//! - `feed`: a subset of the platform's objects that is listed and then watched
+//! - `superseded`: newer configurations that peers reported, and since when
+//! - `whole_fetch`: which peer a daemon fetches large objects from
+//! - `earlier_hosts`: hosts as reported in an earlier store era
+//! - `routable_hosts`: the subset of the host list that routing needs
+//! - `fingerprint`: content hashes that identify repeated requests
+//! - `fleet_state`: the newest known version of each object; versions never go back
+//! - `membership`, `hash`: which daemons are alive, and which of them performs which duty
+//! - `lease`: the lease that makes one daemon the controller of a failure domain
+//! - `demand`: the load that callers put on each model
 //! - `controller`, `placement`: which hosts form which replica
-//! - `change`, `operator`: plans that operators confirm
-//! - `claims`: requests that may run at most once
-//! - `advertised_limit`: what upstreams in need say of the requests that they take
-//! - `permits`: permits to send to these
-//! - `signal`: all that upstreams state about themselves in an answer
-//! - `trials`: trials of requests that may crash the upstreams that run them
-//! - `router`: which request goes where
-//! - `route_config`: routes and models as they are configured
-//! - `routes`: which route a relayed request takes
+//! - `change`, `operator`: configuration changes that operators plan and confirm
+//! - `claims`: at-most-once execution of requests with an idempotency key
+//! - `advertised_limit`: rate limits that overloaded upstreams state in their responses
+//! - `permits`: how daemons share the rate of such an upstream
+//! - `signal`: everything that an upstream states about itself in a response
+//! - `trials`: isolated test runs of requests suspected of crashing upstreams
+//! - `router`: which upstream each request is sent to
+//! - `route_config`: configuration of routes and model profiles
+//! - `routes`: matching of relayed requests to routes
 
 pub mod advertised_limit;
 pub mod change;
--- a/shalehinge/src/core/objects.rs
+++ b/shalehinge/src/core/objects.rs
@@ -1,7 +1,7 @@
-//! The objects that are kept in the platform, and the host list.
+//! The objects stored in the platform, and the host list.
 //!
-//! Everything that must be agreed or must last is in one of these. Each is
-//! changed by conditional update only.
+//! All state that daemons must agree on, or that must be durable, is in one of these objects. Each
+//! is changed only by conditional updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,26 +18,27 @@
     OperationId, ServiceName, Version,
 };
 
-/// How many past operation ids an object remembers for read-backs.
+/// Number of operation ids that an object keeps for read-backs after unclear writes.
 pub const MAX_RECENT_OPERATIONS: usize = 32;
 
-/// Names an object in the platform.
+/// Key of an object in the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ObjectKey {
     /// The configuration of the whole fleet.
     Fleet,
-    /// The list of hosts; written by the platform alone.
+    /// The list of hosts; written by the platform only.
     Hosts,
     /// The host groups of a failure domain.
     Assignment(FailureDomain),
     /// The control lease of a failure domain.
     Lease(FailureDomain),
-    /// One partition of the claimed request keys.
+    /// One partition of the claimed idempotency keys.
     Claims(u16),
 }
 
 impl ObjectKey {
-    /// Whether only daemons write it, so that one in another form may be overwritten.
+    /// Whether only daemons write the object, so that a value that can't be decoded may be
+    /// overwritten.
     pub fn is_written_by_daemons(&self) -> bool {
         matches!(self, Self::Assignment(_) | Self::Lease(_) | Self::Claims(_))
     }
@@ -46,35 +47,35 @@
 /// The value of an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Object {
-    /// See [`FleetConfig`].
+    /// The configuration; see [`FleetConfig`].
     Fleet(FleetConfig),
-    /// See [`HostList`].
+    /// The full host list; see [`HostList`].
     Hosts(HostList),
-    /// See [`HostChanges`].
+    /// Changes to the host list; see [`HostChanges`].
     HostChanges(HostChanges),
-    /// The part of a host list that routing needs.
+    /// The subset of the host list that routing needs.
     RoutableHosts(HostList),
-    /// See [`RoutableChanges`].
+    /// Changes to that subset; see [`RoutableChanges`].
     RoutableChanges(RoutableChanges),
-    /// See [`Assignment`].
+    /// The host groups of a failure domain; see [`Assignment`].
     Assignment(Assignment),
-    /// See [`LeaseRecord`].
+    /// A control lease; see [`LeaseRecord`].
     Lease(LeaseRecord),
-    /// See [`ClaimPartition`].
+    /// A partition of claims; see [`ClaimPartition`].
     Claims(ClaimPartition),
 }
 
 /// An object with the version at which it was read or written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The platform's version.
+    /// Version assigned by the platform's store.
     pub version: Version,
     /// The value.
     pub value: T,
 }
 
 impl Versioned<FleetConfig> {
-    /// Which configuration it is.
+    /// Version of the configuration, including the writer's generation.
     pub fn fleet_version(&self) -> FleetVersion {
         FleetVersion {
             generation: self.value.generation,
@@ -84,7 +85,7 @@
 }
 
 impl Versioned<Assignment> {
-    /// Which assignment it is.
+    /// Version of the assignment, including the epoch it was written under.
     pub fn assignment_version(&self) -> AssignmentVersion {
         AssignmentVersion {
             epoch: self.value.epoch,
@@ -94,7 +95,7 @@
 }
 
 impl Versioned<Object> {
-    /// The object as a lease, if it is one.
+    /// The object as a lease; `None` if it is of another kind.
     pub fn into_lease(self) -> Option<Versioned<LeaseRecord>> {
         let version = self.version;
         match self.value {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// The object as an assignment, if it is one.
+    /// The object as an assignment; `None` if it is of another kind.
     pub fn into_assignment(self) -> Option<Versioned<Assignment>> {
         let version = self.version;
         match self.value {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// The object as a partition of claims, if it is one.
+    /// The object as a partition of claims; `None` if it is of another kind.
     pub fn into_claims(self) -> Option<Versioned<ClaimPartition>> {
         let version = self.version;
         match self.value {
@@ -122,13 +123,13 @@
     }
 }
 
-/// The newest operation ids that changed an object, oldest first.
+/// Ids of the last operations that changed an object, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RecentOperations(Vec<OperationId>);
 
 impl RecentOperations {
-    /// Notes an operation and forgets the oldest beyond [`MAX_RECENT_OPERATIONS`].
+    /// Adds an operation and drops the oldest one beyond [`MAX_RECENT_OPERATIONS`].
     pub fn record(&mut self, operation: OperationId) {
         self.0.push(operation);
         if self.0.len() > MAX_RECENT_OPERATIONS {
@@ -141,19 +142,19 @@
         self.0.last().copied()
     }
 
-    /// Whether the operation is among the newest.
+    /// Whether the operation is among those kept.
     pub fn contains(&self, operation: OperationId) -> bool {
         self.0.contains(&operation)
     }
 }
 
-/// The accepted configuration: who may call, what is served, and how much of it.
+/// The accepted configuration: customers, services, models and how many replicas of each.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Rises with each configuration that is written, whatever becomes of the store's versions.
+    /// Increases with each configuration that is written, independently of the store's versions.
     #[serde(default)]
     pub generation: u64,
-    /// Operations that led here, for read-backs after an unclear write.
+    /// The last operations that changed the configuration, for read-backs after unclear writes.
     #[serde(default)]
     pub operations: RecentOperations,
     /// Customers by name.
@@ -168,46 +169,46 @@
     /// Hosts that operators are draining.
     #[serde(default)]
     pub draining: BTreeSet<HostId>,
-    /// What the fleet weighs in placement.
+    /// Weights of the placement objectives.
     #[serde(default)]
     pub weights: PlacementWeights,
-    /// Routes of requests that are relayed as they are.
+    /// Routes of requests that are relayed unchanged.
     #[serde(default)]
     pub routes: Vec<RouteConfig>,
-    /// Models whose replicas are divided by their share of the work.
+    /// Models whose number of replicas follows from their share of the load.
     #[serde(default)]
     pub profiles: BTreeMap<ModelName, ModelProfile>,
-    /// Bounds for relayed requests; those of the settings without.
+    /// Limits on relayed requests; without them those of the daemon's settings apply.
     #[serde(default)]
     pub caller_limits: Option<CallerLimits>,
-    /// How fast weights may be loaded, over all failure domains.
+    /// Limit on the rate of weight loads, over all failure domains.
     #[serde(default)]
     pub load_rate: Option<LoadRate>,
 }
 
-/// A customer: its keys and its share.
+/// A customer's API keys, share and priority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerConfig {
-    /// SHA-256 of each key that the customer may present, in hexadecimal.
+    /// SHA-256 of each API key of the customer, in hexadecimal.
     pub key_sha256: Vec<String>,
-    /// Weight of the customer against the others, from 1.
+    /// Weight of the customer relative to the others, at least 1.
     pub share: u32,
-    /// Rank of its requests, 0 first; that of the route without.
+    /// Priority rank of its requests, 0 is served first; the route's rank applies without one.
     #[serde(default)]
     pub rank: Option<u8>,
 }
 
-/// A plain service: where it is and which calls may not be repeated.
+/// A plain service: its instances and which calls must not be repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceConfig {
     /// Requests whose path starts with this go to the service.
     pub path_prefix: String,
-    /// Its instances.
+    /// Configured instances of the service.
     pub upstreams: Vec<ServiceUpstream>,
-    /// Calls that may not be repeated.
+    /// Calls that must not be sent more than once.
     #[serde(default)]
     pub not_repeatable: Vec<CallPattern>,
-    /// Whether its instances are those that the host list names.
+    /// Whether its instances come from the host list instead of `upstreams`.
     #[serde(default)]
     pub is_listed: bool,
 }
@@ -215,49 +216,49 @@
 /// An instance of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceUpstream {
-    /// The host it runs on.
+    /// Host that the instance runs on.
     pub host: HostId,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: Address,
-    /// Where the host is.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomain,
 }
 
-/// Calls by method and start of the path, as the caller wrote it.
+/// Matches calls by method and path prefix; the path is compared as the caller sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallPattern {
-    /// HTTP method in capitals.
+    /// HTTP method in upper case.
     pub method: String,
-    /// Start of the path.
+    /// Prefix of the path.
     pub path_prefix: String,
 }
 
-/// What operators want of one model.
+/// The state that operators want for one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelIntent {
-    /// Whose share of the accelerators its hosts count against.
+    /// Customer whose share of the accelerators the model's hosts count against.
     pub owner: Customer,
-    /// Version that all replicas should come to run.
+    /// Version that all replicas should run eventually.
     pub version: ModelVersion,
-    /// Hosts that form one replica, 4 to 32 in production.
+    /// Number of hosts per replica; 4 to 32 in production.
     pub hosts_per_replica: u32,
-    /// Replicas wanted in each failure domain, as the plan divided them.
+    /// Wanted number of replicas in each failure domain, as the plan divided the total.
     pub replicas: BTreeMap<FailureDomain, u32>,
 }
 
 impl ModelIntent {
-    /// Replicas wanted over all failure domains.
+    /// Wanted number of replicas over all failure domains.
     pub fn total_replicas(&self) -> u32 {
         self.replicas.values().sum()
     }
 }
 
-/// How much each measure counts for this fleet.
+/// Cost weights of the placement objectives.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlacementWeights {
-    /// Weight of an hour of group downtime.
+    /// Cost of one hour of downtime of a group.
     pub group_downtime: f64,
-    /// Weight of an hour of one stranded accelerator.
+    /// Cost of one hour of one stranded accelerator, which no group can use.
     pub stranded_accelerators: f64,
 }
 
@@ -270,54 +271,54 @@
     }
 }
 
-/// The platform's list of hosts. It lags behind the truth.
+/// The platform's list of hosts. It lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostList {
     /// Hosts by name.
     pub hosts: BTreeMap<HostId, HostRecord>,
 }
 
-/// A host as the platform lists it.
+/// A host as reported by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Where its engine listens.
+    /// Address at which its engine listens.
     pub address: Address,
-    /// Which failure domain it is in.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomain,
-    /// Which fabric connects it.
+    /// Fabric domain of the host.
     pub fabric_domain: FabricDomain,
-    /// Accelerators on the host.
+    /// Number of accelerators of the host.
     pub accelerators: u32,
-    /// What the platform says of it.
+    /// Whether the host is in service, as reported by the platform.
     pub state: HostState,
-    /// Service that it belongs to, where the list tells.
+    /// Service that the host belongs to, if the list states one.
     #[serde(default)]
     pub service: Option<ServiceName>,
-    /// Requests that it runs at once, where the list tells.
+    /// Number of requests that the host runs concurrently, if the list states it.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// Models whose weights lie on the host, the newest first.
+    /// Models whose weights are stored on the host, most recent first.
     #[serde(default)]
     pub staged: Vec<ModelName>,
-    /// What its engine told the list.
+    /// Status that the engine last reported to the list.
     #[serde(default)]
     pub status: Option<EngineStatus>,
-    /// When its engine started, where the list tells.
+    /// Start time of the engine, if the list states it.
     #[serde(default)]
     pub started: Option<EngineStart>,
 }
 
 impl HostRecord {
-    /// The group whose requests this host takes as its rank 0, and its model, where the
-    /// list tells.
+    /// The group for which this host takes requests as rank 0, and the group's model; `None` if
+    /// the list shows no such group.
     pub fn open_group(&self) -> Option<(GroupNumber, &ModelName)> {
         let status = self.status.as_ref()?;
         let (number, model) = self.intact_group()?;
         status.shows_open(number).then_some((number, model))
     }
 
-    /// The group that this host joined, and its model, where the list tells and the group
-    /// is not broken.
+    /// The group that this host has joined, and the group's model; `None` if the list shows no
+    /// such group or reports it as broken.
     pub fn intact_group(&self) -> Option<(GroupNumber, &ModelName)> {
         let status = self.status.as_ref()?;
         let number = status.group.filter(|number| status.shows_member(*number))?;
@@ -326,65 +327,65 @@
     }
 }
 
-/// Hosts that changed since an earlier list.
+/// Changes to the host list since an earlier version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostChanges {
-    /// Hosts as they are now.
+    /// Added and changed hosts with their current records.
     pub changed: BTreeMap<HostId, HostRecord>,
-    /// Hosts that are gone.
+    /// Hosts that are no longer listed.
     pub removed: BTreeSet<HostId>,
 }
 
-/// What the platform says of a host.
+/// State of a host as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
     /// In service.
     Live,
-    /// Will go soon: no new work.
+    /// Will be removed soon; must get no new work.
     Leaving,
 }
 
 /// The host groups of one failure domain.
 ///
-/// A host is in at most one group or in `releasing`, which [`Assignment::check`]
-/// verifies. As it is one object, one conditional update moves a host.
+/// A host is in at most one group, or in `releasing`; [`Assignment::check`] verifies this. As all
+/// groups are in one object, a single conditional update can move a host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// The write that made this value.
+    /// The write that stored this value.
     pub operation: Option<OperationId>,
-    /// Epoch of the lease under which it was written.
+    /// Epoch of the lease under which the value was written.
     pub epoch: Epoch,
-    /// Number of the next group.
+    /// Number that the next group will get.
     pub next_group: GroupNumber,
     /// Groups by number.
     pub groups: BTreeMap<GroupNumber, Group>,
-    /// Hosts that left a group and have not yet acknowledged the release of it.
+    /// Hosts that were removed from a group and have not acknowledged the release yet.
     pub releasing: BTreeMap<HostId, GroupNumber>,
-    /// Rank 0 of each group that `releasing` names: while it may still serve, its
-    /// members may not join another group.
+    /// Rank 0 of each group in `releasing`. While that host may still serve requests, the members
+    /// of the group must not join another group.
     #[serde(default)]
     pub heads: BTreeMap<GroupNumber, HostId>,
-    /// Replicas that should stand, of models whose replicas follow from their shares:
-    /// the most that the listed hosts ever allowed.
+    /// Wanted number of replicas of each model whose replicas follow from its share of the load:
+    /// the highest number that the listed hosts have ever allowed.
     #[serde(default)]
     pub wanted: BTreeMap<ModelName, u32>,
-    /// The model that each free host last held in memory, where engines join by order:
-    /// a host joins a group of that model at once, and the host list does not tell it.
+    /// The model that each free host last held in memory, where engines join groups by order.
+    /// Such a host can join a group of that model at once. The host list doesn't report it.
     #[serde(default)]
     pub held_by_free: BTreeMap<HostId, ModelName>,
 }
 
-/// The hosts that form one replica. Members never change; a change makes a new group.
+/// The hosts that form one replica. Members are immutable; a change of members makes a new group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// Model it serves.
+    /// Model that the group serves.
     pub model: ModelName,
-    /// Version it serves.
+    /// Version of the model.
     pub version: ModelVersion,
-    /// Members by rank; rank 0 takes the requests.
+    /// Members in order of rank; rank 0 takes the requests.
     pub members: Vec<Member>,
-    /// How far it is.
+    /// Current phase.
     pub phase: GroupPhase,
 }
 
@@ -393,35 +394,35 @@
 pub struct Member {
     /// The host.
     pub host: HostId,
-    /// Where its engine listens.
+    /// Address at which its engine listens.
     pub address: Address,
 }
 
-/// How far a group is. It only moves forward.
+/// Phase of a group's life cycle. It only advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum GroupPhase {
-    /// Members are being ordered to load.
+    /// Members are ordered to load the model.
     Forming,
-    /// All members were seen ready.
+    /// All members have reported ready.
     Serving,
-    /// No new work; members finish what runs and are then released.
+    /// The group gets no new work; members finish running requests and are then released.
     Retiring,
 }
 
-/// Why an assignment is not valid.
+/// Why an assignment is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// A host stands in two places.
-    #[error("host {0} is in two groups")]
+    /// A host is in more than one group, or both in a group and in `releasing`.
+    #[error("host {0} is in more than one group or release")]
     DuplicateHost(HostId),
-    /// A group number is not below the next one.
-    #[error("group {0:?} is not below the next group number")]
+    /// A group number is not below `next_group`.
+    #[error("group number {0:?} is not below the next group number")]
     GroupNumberTooHigh(GroupNumber),
 }
 
 impl Default for Assignment {
-    /// No groups, none ever formed.
+    /// An assignment in which no group has been formed yet.
     fn default() -> Self {
         Self {
             operation: None,
@@ -437,7 +438,9 @@
 }
 
 impl Assignment {
-    /// Checks that no host is in two groups and that numbers are below the next.
+    /// Checks that no host is listed twice and that all group numbers are below `next_group`.
+    ///
+    /// Returns the first violation found.
     pub fn check(&self) -> Result<(), AssignmentError> {
         let mut seen = BTreeSet::new();
         for (number, group) in &self.groups {
@@ -458,12 +461,12 @@
         Ok(())
     }
 
-    /// Whether the host is in a group or still leaving one.
+    /// Whether the host is in a group or is being released from one.
     pub fn is_in_use(&self, host: &HostId) -> bool {
         self.releasing.contains_key(host) || self.groups.values().any(|group| group.contains(host))
     }
 
-    /// Hosts that are in a group or still leaving one.
+    /// Hosts that are in a group or are being released from one.
     pub fn used_hosts(&self) -> BTreeSet<&HostId> {
         let members = self.groups.values().flat_map(|group| &group.members);
         members
@@ -472,7 +475,7 @@
             .collect()
     }
 
-    /// Adds a forming group and returns its number.
+    /// Adds a group in phase [`GroupPhase::Forming`] and returns its number.
     pub fn add_group(
         &mut self,
         model: ModelName,
@@ -491,7 +494,7 @@
         number
     }
 
-    /// Takes a group out; its hosts stay in `releasing` until each acknowledges.
+    /// Removes a group. Its hosts stay in `releasing` until each has acknowledged the release.
     pub fn dissolve(&mut self, number: GroupNumber) {
         let Some(group) = self.groups.remove(&number) else {
             return;
@@ -506,7 +509,7 @@
 }
 
 impl Group {
-    /// Whether the host is a member.
+    /// Whether the host is a member of the group.
     pub fn contains(&self, host: &HostId) -> bool {
         self.members.iter().any(|member| member.host == *host)
     }
@@ -515,28 +518,28 @@
 /// The control lease of a failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The write that made this value.
+    /// The write that stored this value.
     pub operation: OperationId,
-    /// Who holds it.
+    /// The daemon that holds the lease.
     pub holder: DaemonId,
-    /// Which run of the holder.
+    /// The run of the holder.
     pub incarnation: Incarnation,
-    /// Rises by one with each new holder.
+    /// Increases with each new holder; see [`Epoch`].
     pub epoch: Epoch,
-    /// How long after the last change a successor must wait, in milliseconds.
+    /// How long a successor must wait after the last change of the record, in milliseconds.
     pub term_ms: u64,
-    /// Given back on a planned stop; a successor need not wait.
+    /// Whether the holder released the lease on a planned stop, so that a successor need not wait.
     pub released: bool,
 }
 
-/// Keys of requests that may run at most once.
+/// Claimed idempotency keys of requests that may run at most once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimPartition {
-    /// Claims by the hash of customer and key.
+    /// Claims by hash of customer and key.
     pub claims: BTreeMap<KeyHash, Claim>,
 }
 
-/// Hash of a customer with the key that it gave its request.
+/// Hash of a customer and an idempotency key; serialized as 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyHash(pub u128);
 
@@ -555,23 +558,24 @@
     }
 }
 
-/// Who claimed a key, and what is known of the run.
+/// A claim of an idempotency key, with the state of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The operation that claimed it: unique to one request of one daemon run.
+    /// The operation that claimed the key; unique to one request of one run of a daemon.
     pub claimant: OperationId,
-    /// Wall clock of the claimant, seconds since 1970; only for dropping old claims.
+    /// Wall-clock time of the claim in Unix seconds, by the claimant's clock; only used to expire
+    /// old claims.
     pub claimed_at: u64,
-    /// What is known of the run.
+    /// State of the request.
     pub state: ClaimState,
 }
 
-/// What is known of the run behind a claim.
+/// State of the request behind a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClaimState {
-    /// It may have been sent, or may still be.
+    /// The request may have been sent to an upstream, or may still be.
     Claimed,
-    /// It ran to its end.
+    /// The request ran to completion.
     Completed,
 }
--- a/shalehinge/src/core/operator.rs
+++ b/shalehinge/src/core/operator.rs
@@ -1,10 +1,10 @@
-//! Plans that operators read and confirm.
+//! Plans that operators review and confirm.
 //!
-//! A plan is computed from objects read for it. Confirming computes it again
-//! from fresh objects and goes on only if it came out the same; the one write
-//! is conditional on the version that the plan was made from. Two racing
-//! confirms can't both win. After an unclear write the operation id in the
-//! object tells whose write it was.
+//! A plan is computed from freshly read objects. Confirming it computes the plan again from fresh
+//! objects and proceeds only if the result is the same. The single write is conditional on the
+//! configuration version that the plan was based on, so of two concurrent confirms at most one
+//! takes effect. If the platform doesn't answer the write, the operation ids in the object show
+//! whether the write took effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,80 +19,81 @@
 use super::platform::{Freshness, PlatformCall, PlatformReply, PlatformResult, Scope};
 use super::types::{FailureDomain, OperationId, Timestamp, Version};
 
-/// How long a confirm tries to learn what became of its write.
+/// How long a call tries to find out whether its write took effect, from the start of the call.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Identifies a call of an operator, so that its answer finds back.
+/// Identifies an operator's call, to match its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorCallId(pub u64);
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorCall {
-    /// What would happen.
+    /// Compute the effects of a change without applying it.
     Plan(Change),
-    /// Do it, if that is still what would happen.
+    /// Apply a planned change, if its effects are still the same.
     Confirm(Confirm),
 }
 
-/// Confirms a plan.
+/// Request to apply a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Confirm {
-    /// The change of the plan.
+    /// The planned change.
     pub change: Change,
-    /// Version of the configuration that the plan was made from.
+    /// Version of the configuration that the plan was based on.
     pub base: Version,
-    /// Digest of the plan.
+    /// Digest of the plan, see [`Plan::digest`].
     pub digest: String,
-    /// Chosen by the caller; the same for a repeated confirm of one plan.
+    /// Operation id chosen by the caller; a repeated confirm of one plan uses the same id, so that
+    /// the change is applied only once.
     pub operation: OperationId,
 }
 
-/// What would happen.
+/// The effects that a change would have.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The change asked for.
+    /// The requested change.
     pub change: Change,
-    /// Version of the configuration that it was made from.
+    /// Version of the configuration that the plan is based on.
     pub base: Version,
     /// SHA-256 of the plan, in hexadecimal.
     pub digest: String,
-    /// What happens in each failure domain.
+    /// Effects of the change in each failure domain.
     pub effects: BTreeMap<FailureDomain, Effects>,
 }
 
-/// Answer to an operator.
+/// Answer to an operator's call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorAnswer {
-    /// The plan; nothing has changed.
+    /// The plan; nothing was changed.
     Planned(Box<Plan>),
-    /// Accepted: it is stored, and will be in force everywhere within seconds.
+    /// The change is stored, and will be in force at all daemons within seconds.
     Confirmed {
-        /// Version of the configuration.
+        /// Version of the configuration that contains the change.
         version: Version,
     },
-    /// Nothing was changed, as the plan no longer holds.
+    /// Nothing was changed, as the plan is out of date.
     OutOfDate {
-        /// Version now in force.
+        /// Current version of the configuration.
         version: Version,
-        /// The plan as it would be now.
+        /// The plan based on the current objects, if the change is still valid.
         plan: Option<Box<Plan>>,
     },
-    /// Nothing was changed, as the change makes no sense.
+    /// Nothing was changed, as the change is invalid.
     Refused(ChangeError),
-    /// Nothing was changed, as the platform does not answer.
+    /// Nothing was changed, as the platform did not answer.
     PlatformUnavailable,
-    /// It is not known whether it was accepted; the same confirm may be repeated.
+    /// It is unknown whether the change was stored; the same confirm can safely be repeated.
     Unclear,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Objects are being read.
+    /// Waiting for the objects that the plan is computed from.
     Reading,
-    /// The write is on its way.
+    /// Waiting for the result of the conditional write.
     Writing(Box<FleetConfig>),
-    /// It is being read whose write took effect.
+    /// Reading the objects again to find out whether the write took effect.
     ReadingBack(Box<FleetConfig>),
 }
 
@@ -103,23 +104,23 @@
     read_back_until: Timestamp,
 }
 
-/// The operators' calls that a daemon works on.
+/// The operators' calls in progress at a daemon.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorCalls {
     sessions_by_call: BTreeMap<OperatorCallId, Session>,
 }
 
-/// What a call needs next.
+/// Next step of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorStep {
-    /// Call the platform.
+    /// Send this call to the platform; its result goes to [`OperatorCalls::on_platform`].
     Platform(PlatformCall),
-    /// Done.
+    /// Send this answer to the operator; the call has ended.
     Answer(OperatorAnswer),
 }
 
 impl OperatorCalls {
-    /// Takes in a call.
+    /// Starts a call and returns its first step.
     pub fn begin(
         &mut self,
         now: Timestamp,
@@ -135,7 +136,8 @@
         OperatorStep::Platform(exact_list_call())
     }
 
-    /// The platform answered a call made for `id`. `state` has the answer in it.
+    /// Handles the result of a platform call made for `id` and returns the next step. `state` must
+    /// already include the result. Returns `None` if the call is unknown or has ended.
     pub fn on_platform(
         &mut self,
         now: Timestamp,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// From fresh objects: answer a plan, or write a confirm.
+    /// With fresh objects: answers a plan, or starts the write of a confirm.
     fn handle_fresh_objects(&mut self, state: &FleetState) -> OperatorStep {
         let inputs = PlanInputs::from(state);
         let confirm = match &self.call {
@@ -208,10 +210,9 @@
         self.write(base, Box::new(fleet))
     }
 
-    /// After an unclear write, from fresh objects. While the version is still
-    /// the one that the write was conditional on, it may yet take effect, so
-    /// nothing else may be said: the same write is sent again. Under one version
-    /// it takes effect once at most.
+    /// With fresh objects after an unclear write. While the version is still the one that the
+    /// write was conditional on, the write may yet take effect, so the call can't be answered and
+    /// the same write is sent again. As both depend on one version, at most one takes effect.
     fn resolve_unclear_write(
         &mut self,
         is_timed_out: bool,
@@ -255,7 +256,7 @@
     OperatorStep::Answer(OperatorAnswer::OutOfDate { version, plan })
 }
 
-/// The objects that a plan is made from.
+/// The objects that a plan is computed from.
 struct PlanInputs {
     version: Version,
     fleet: FleetConfig,
@@ -317,12 +318,12 @@
     hex(&Sha256::digest(text.as_bytes()))
 }
 
-/// Bytes in hexadecimal.
+/// Formats bytes as lower-case hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Plans are made and confirmed on what the platform holds now.
+/// An exact list of all shared objects: plans must not be based on stale reads.
 fn exact_list_call() -> PlatformCall {
     PlatformCall::List {
         scope: Scope::Shared,
--- a/shalehinge/src/core/platform.rs
+++ b/shalehinge/src/core/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform and their answers, as values.
+//! Calls to the platform and their replies.
 
 use std::time::Duration;
 
@@ -6,55 +6,56 @@
 use super::objects::{Object, ObjectKey, Versioned};
 use super::types::{StoreEra, Version};
 
-/// Identifies a call, so that its answer finds back.
+/// Identifies a call, to match its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// A call to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformCall {
-    /// Read one object.
+    /// Reads one object.
     Get {
-        /// Which object.
+        /// Key of the object.
         key: ObjectKey,
-        /// How new the answer must be.
+        /// How recent the reply must be.
         freshness: Freshness,
     },
-    /// Write one object if it still has this version.
+    /// Writes one object if its current version is `expect`.
     Put {
-        /// Which object.
+        /// Key of the object.
         key: ObjectKey,
-        /// Version that it must have.
+        /// Version that the stored object must have.
         expect: Version,
         /// The new value.
         object: Box<Object>,
     },
-    /// Read the objects of a scope.
+    /// Reads all objects of a scope.
     List {
-        /// Which objects.
+        /// The objects to read.
         scope: Scope,
-        /// How new the answer must be.
+        /// How recent the reply must be.
         freshness: Freshness,
     },
-    /// Wait for changes of a scope after a revision.
+    /// Waits for changes to a scope after a revision (long poll).
     Watch {
-        /// What to wait for.
+        /// The objects to watch.
         scope: Scope,
-        /// The last revision seen.
+        /// The last revision that the caller has seen.
         after: Version,
-        /// How long to wait at the most.
+        /// Longest time to wait for a change.
         wait: Duration,
-        /// How new the answer must be.
+        /// How recent the reply must be.
         freshness: Freshness,
     },
 }
 
-/// How new an answer must be. Platforms may charge less for older ones.
+/// How recent a reply must be. Platforms may charge less for stale reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It holds all changes up to the question.
+    /// The reply includes all changes made before the call.
     Exact,
-    /// Changes of the last seconds may be missing; it proves nothing by itself.
+    /// Changes of the last few seconds may be missing, so the reply alone proves nothing about
+    /// the current state.
     MayBeStale,
 }
 
@@ -69,32 +70,32 @@
     Hosts,
 }
 
-/// The answer to a call.
+/// Reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlatformReply {
-    /// The object.
+    /// The object that was read.
     Object(Box<Versioned<Object>>),
     /// The object does not exist.
     Missing(StoreEra),
-    /// The object exists at this version, in a form that is not ours: another writer left it.
+    /// The object exists at this version but can't be decoded, as a foreign writer wrote it.
     Foreign(Version),
-    /// The write took effect.
+    /// The write took effect; the object now has this version.
     Written(Version),
-    /// The object had another version.
+    /// The write was rejected, as the object had another version.
     Conflict(StoreEra),
-    /// Objects as of a revision; for a watch only the changed ones.
+    /// Objects as of a revision; for a watch, only those that changed.
     Objects {
         /// The revision.
         revision: Version,
         /// The objects.
         updates: Vec<ObjectUpdate>,
     },
-    /// The platform does not know what changed since that revision.
+    /// The platform no longer has the history since the watched revision; list again.
     HistoryGone(StoreEra),
 }
 
 impl PlatformReply {
-    /// The era of the store that gave the answer.
+    /// The store era in which the reply was given.
     pub fn era(&self) -> StoreEra {
         match self {
             Self::Object(object) => object.version.era,
@@ -106,7 +107,8 @@
 }
 
 impl PlatformCall {
-    /// The era on whose versions the answer rests; none for a call that names no version.
+    /// The store era of the version that the call refers to; `None` for a call that names no
+    /// version.
     pub fn base_era(&self) -> Option<StoreEra> {
         match self {
             Self::Put { expect, .. } => Some(expect.era),
@@ -116,10 +118,10 @@
     }
 }
 
-/// No answer: a write may have taken effect, or may still do so.
+/// The platform did not answer. A write may have taken effect, or may still do so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the platform did not answer")]
 pub struct NoAnswer;
 
-/// What became of a call.
+/// The result of a call.
 pub type PlatformResult = Result<PlatformReply, NoAnswer>;
--- a/shalehinge/src/core/route_config.rs
+++ b/shalehinge/src/core/route_config.rs
@@ -1,105 +1,106 @@
-//! The part of the configuration that relayed requests follow: routes, models that
-//! share a service's hosts, and bounds.
+//! Configuration of relayed requests: routes, profiles of models that share a service's hosts, and
+//! limits.
 
 use serde::{Deserialize, Serialize};
 
 use super::types::ServiceName;
 
-/// Which requests go to which service, and what may be done with them.
+/// Maps requests to services, and states how they may be handled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteConfig {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// The host that callers name.
+    /// Host name that the request must be addressed to, without port; case is ignored.
     pub host: String,
-    /// Start of the path; the longest that fits decides.
+    /// Path prefix of matching requests; the route with the longest matching prefix applies.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// Whether its requests may be repeated or streamed.
     pub kind: RequestKind,
-    /// Longest time that a request may be held, in milliseconds.
+    /// Maximum time that a request may take, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer has its full worth, in milliseconds.
+    /// Target latency in milliseconds, 0 for none; a later answer is worth less to the caller.
     pub target_latency_ms: u64,
-    /// Rank of its requests, 0 first.
+    /// Priority rank of its requests; 0 is served first.
     pub rank: u8,
-    /// Upstreams that may run one request.
+    /// Maximum number of upstreams that may run one request.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers are admitted without an API key.
     pub is_anonymous: bool,
-    /// Whether a stream may be continued by another upstream.
+    /// Whether another upstream may continue an interrupted stream.
     pub is_resumable: bool,
-    /// Services with their weights.
+    /// Services that the requests are divided between.
     pub backends: Vec<WeightedService>,
 }
 
-/// What may be done with the requests of a route.
+/// How the requests of a route may be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// It may run once at most.
+    /// The request may run at most once.
     NotRepeatable,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     Stream,
 }
 
-/// A service that gets a part of a route's requests.
+/// A service that gets a weighted fraction of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its part of all weights.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// What is known of a model's replicas before they run.
+/// Known properties of a model's replicas, for estimates before any replica has run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelProfile {
-    /// Service whose hosts may form its replicas.
+    /// Service whose hosts may form replicas of the model.
     pub service: ServiceName,
-    /// Hosts that form one replica.
+    /// Number of hosts per replica.
     pub hosts_per_replica: u32,
-    /// Its part of the service's work, from 0 to 1.
+    /// The model's fraction of the service's load, from 0 to 1.
     pub work_share: f64,
-    /// Factor on all times of a replica.
+    /// Factor by which all times of a replica are multiplied.
     pub pace: f64,
-    /// Requests that a replica runs at once.
+    /// Number of requests that a replica runs concurrently.
     pub slots: u32,
-    /// The times of an engine before `pace`, where they are known.
+    /// Processing times of an engine before `pace` is applied, if known.
     #[serde(default)]
     pub times: Option<EngineTimes>,
-    /// Seconds that a host takes to load its weights, where that is known.
+    /// Time that a host takes to load the model's weights, in seconds, if known.
     #[serde(default)]
     pub load_seconds: Option<f64>,
 }
 
-/// How long an engine takes for the parts of a request.
+/// Processing times of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineTimes {
-    /// Milliseconds of a step, in which each running request gets a token.
+    /// Base duration of a decoding step in milliseconds; each running request gets one token per
+    /// step.
     pub step_ms: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// Additional duration of a step for each running request, in milliseconds.
     pub step_ms_per_request: f64,
-    /// Steps, and so tokens, that one event of a stream brings.
+    /// Number of steps, and thus of tokens, per event of a stream.
     pub steps_per_event: u32,
-    /// Tokens of prompts that are read in a second.
+    /// Prompt tokens processed per second.
     pub prompt_tokens_per_second: f64,
 }
 
-/// Bounds for relayed requests.
+/// Limits on relayed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
 }
 
-/// How fast weights may be loaded.
+/// Limits on loads of model weights, over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadRate {
-    /// Loads that may begin each second, over the whole fleet.
+    /// Number of loads that may start per second.
     pub per_second: f64,
-    /// Loads that run at a time without slowing each other down, over the whole fleet.
+    /// Number of loads that can run concurrently without slowing each other down, if known.
     #[serde(default)]
     pub at_once: Option<f64>,
 }
--- a/shalehinge/src/core/routes.rs
+++ b/shalehinge/src/core/routes.rs
@@ -1,58 +1,58 @@
-//! Which route a relayed request takes, and whose request it is.
+//! Matching of relayed requests to routes, and of API keys to customers.
 //!
-//! Built once for each configuration, so that a request costs two look-ups.
+//! The table is built once for each configuration, so that a request costs only two map lookups.
 
 use std::collections::HashMap;
 
 use super::objects::{CallerLimits, FleetConfig, RequestKind, RouteConfig};
 use super::types::{Customer, FleetVersion, ModelName, ServiceName};
 
-/// The routes and keys of one configuration.
+/// The routes and API keys of one configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     version: FleetVersion,
-    // Looked up by key only, never iterated in an order that matters.
+    // Accessed by key only: no decision may depend on the iteration order of a `HashMap`.
     routes_by_host: HashMap<String, Vec<RouteConfig>>,
     holders_by_key: HashMap<String, KeyHolder>,
     requires_keys: bool,
     limits: Option<CallerLimits>,
 }
 
-/// Who holds a key.
+/// The customer that an API key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The customer.
+    /// Name of the customer.
     pub customer: Customer,
-    /// Rank of its requests, if it has one of its own.
+    /// Priority rank of its requests, if the customer has one of its own.
     pub rank: Option<u8>,
 }
 
-/// What a request must show to be routed.
+/// Properties of a request that routing depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// Host that the caller names.
+    /// Host name in the request; a port is ignored.
     pub host: &'a str,
-    /// Path without query.
+    /// Path without the query string.
     pub path: &'a str,
-    /// SHA-256 of the caller's key in hexadecimal, if it sent one.
+    /// SHA-256 of the caller's API key in lower-case hexadecimal, if it sent one.
     pub key_sha256: Option<&'a str>,
-    /// A number of the request's own that divides it between services.
+    /// Number derived from the request that selects one of the route's services by weight.
     pub split_key: u64,
 }
 
-/// Where a request goes, and under which bounds.
+/// The route and service that a request was matched to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteMatch {
     /// The route's configuration.
     pub route: RouteConfig,
-    /// The service chosen among the route's.
+    /// The service selected among those of the route.
     pub service: ServiceName,
-    /// The customer; `None` without a key.
+    /// The customer; `None` if no known key was sent.
     pub holder: Option<KeyHolder>,
 }
 
 impl RouteMatch {
-    /// Whether running the request twice does no harm.
+    /// Whether the request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.route.kind {
             RequestKind::Repeatable => true,
@@ -61,31 +61,31 @@
         }
     }
 
-    /// Rank of the request: the customer's goes before the route's.
+    /// Priority rank of the request: the customer's rank, or else that of the route.
     pub fn rank(&self) -> u8 {
         let customer_rank = self.holder.as_ref().and_then(|holder| holder.rank);
         customer_rank.unwrap_or(self.route.rank)
     }
 }
 
-/// Why a request is not routed.
+/// Why a request was not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteRefusal {
-    /// No route fits host and path.
+    /// No route matches host and path, or the matching route has no service.
     UnknownRoute,
-    /// The route needs a key, and none was sent or nobody holds it.
+    /// The route requires an API key, but none was sent or no customer has it.
     UnknownKey,
-    /// No configuration is known, or only one that may be out of date.
+    /// No configuration is known yet, or the known one may be out of date.
     NotReady,
 }
 
-/// The name under which a model of a service is known in the fleet.
+/// The fleet-wide name of a model of a service: `service/model`.
 pub fn model_of_service(service: &ServiceName, model: &str) -> ModelName {
     ModelName::new(&format!("{service}/{model}"))
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Builds the table of a configuration.
     pub fn new(version: FleetVersion, fleet: &FleetConfig) -> Self {
         let mut routes_by_host: HashMap<String, Vec<RouteConfig>> = HashMap::new();
         for route in &fleet.routes {
@@ -116,22 +116,23 @@
         }
     }
 
-    /// Version of the configuration that it was built from.
+    /// Version of the configuration that the table was built from.
     pub fn version(&self) -> FleetVersion {
         self.version
     }
 
-    /// Bounds of the configuration, if it has some.
+    /// Limits on relayed requests, if the configuration sets them.
     pub fn limits(&self) -> Option<CallerLimits> {
         self.limits
     }
 
-    /// Who holds a key.
+    /// The customer that an API key belongs to. The key is given by its SHA-256 in lower-case
+    /// hexadecimal.
     pub fn holder(&self, key_sha256: &str) -> Option<&KeyHolder> {
         self.holders_by_key.get(key_sha256)
     }
 
-    /// Where a request goes.
+    /// Matches a request to a route and one of its services.
     pub fn find(&self, query: RouteQuery<'_>) -> Result<RouteMatch, RouteRefusal> {
         let route = self.route(query.host, query.path);
         let route = route.ok_or(RouteRefusal::UnknownRoute)?;
@@ -157,7 +158,8 @@
     }
 }
 
-/// The service that this number falls to, by the weights.
+/// Selects a service by weight: `split_key` modulo the sum of all weights decides. With a sum of 0
+/// the first service is selected.
 fn select_backend(route: &RouteConfig, split_key: u64) -> Option<&ServiceName> {
     let total: u64 = route.backends.iter().map(|b| u64::from(b.weight)).sum();
     if total == 0 {
--- a/shalehinge/src/core/signal.rs
+++ b/shalehinge/src/core/signal.rs
@@ -1,29 +1,29 @@
-//! What an upstream states about itself in the head of an answer.
+//! What an upstream states about itself in the head of an HTTP response.
 
 use std::time::{Duration, SystemTime};
 
 use super::advertised_limit::{AdvertisedLimit, truncate_for_log};
 
-/// Status of an upstream that takes no more requests from this daemon for now.
+/// HTTP status of an upstream that currently accepts no more requests from this daemon.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Status of an upstream that can't serve for now.
+/// HTTP status of an upstream that currently can't serve requests.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// All that one answer states about its upstream.
+/// Everything that one response states about its upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamSignal {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
-    /// Requests that it takes from all daemons together.
+    /// Rate of requests that the upstream accepts from all daemons together.
     pub limit: AdvertisedLimit,
-    /// How long it wants no requests from this daemon.
+    /// How long the upstream wants to get no requests from this daemon.
     pub cooldown: RequestedCooldown,
-    /// Whether it is leaving.
+    /// Whether the upstream is about to shut down.
     pub leaving: LeavingMark,
 }
 
 impl UpstreamSignal {
-    /// An answer with this status that states nothing.
+    /// The signal of a response that states nothing besides this status.
     pub fn status_only(status: u16) -> Self {
         Self {
             status,
@@ -33,33 +33,35 @@
         }
     }
 
-    /// Whether the answer reports success.
+    /// Whether the response has a success status (2xx).
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Whether a decision may depend on it. That no limit is named counts in a success alone: a
-    /// refusal may come from a part of the upstream that doesn't know of the limit.
+    /// Whether the signal can influence a decision. The absence of a limit is meaningful only in a
+    /// successful response: an error may come from a component of the upstream, such as a proxy,
+    /// that doesn't know the limit.
     pub fn is_relevant(&self) -> bool {
         self.is_success() || *self != Self::status_only(self.status)
     }
 }
 
-/// How long an upstream wants no requests from the daemon that it answers.
+/// How long an upstream wants to get no requests from the daemon that it responds to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestedCooldown {
-    /// Nothing is stated.
+    /// The response requests no cooldown.
     None,
-    /// From the answer on, for so long.
+    /// A cooldown of this length, starting with the response.
     For(Duration),
-    /// The text is no time, or the start of it.
+    /// The header value is not a valid time; contains the start of the value for the log.
     Unreadable(String),
 }
 
 impl RequestedCooldown {
-    /// Reads all values of `Retry-After` (RFC 9110) in an answer with this status: seconds, also
-    /// with a fraction, or a date, which counts against `answered_at`, the time of the answer by
-    /// the upstream's clock. Other statuses than 429 and 503 ask for no cooldown.
+    /// Parses all values of `Retry-After` (RFC 9110) in a response with this status. A value is a
+    /// number of seconds, optionally with a fraction, or a date. Dates are relative to
+    /// `answered_at`, the time of the response by the upstream's clock. Only statuses 429 and 503
+    /// request a cooldown.
     pub fn parse<'a>(
         status: u16,
         values: impl Iterator<Item = &'a str>,
@@ -78,19 +80,19 @@
     }
 }
 
-/// Whether an answer states that its upstream is leaving.
+/// Whether a response states that its upstream is about to shut down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeavingMark {
-    /// Nothing is stated, or that it stays.
+    /// No mark, or one that states that the upstream stays.
     Absent,
-    /// It is leaving.
+    /// The upstream is about to shut down.
     Leaving,
-    /// The text is no mark, or the start of it.
+    /// The header value is not a valid mark; contains the start of the value for the log.
     Unreadable(String),
 }
 
 impl LeavingMark {
-    /// Reads all values of the header: `1` marks an upstream that is leaving.
+    /// Parses all values of the header: `1` marks an upstream that is leaving, `0` one that stays.
     pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         match single_value(values) {
             SingleValue::Absent | SingleValue::One("0") => Self::Absent,
@@ -101,7 +103,7 @@
     }
 }
 
-/// The values of a header that may be given once.
+/// The values of a header that must occur at most once.
 enum SingleValue<'a> {
     Absent,
     One(&'a str),
@@ -118,14 +120,15 @@
     }
 }
 
-/// A decimal number of seconds; the number parser alone would also take words and exponents.
+/// Parses a decimal number of seconds. The characters are checked first, as the float parser would
+/// also accept words such as `inf` and exponents.
 fn parse_seconds(text: &str) -> Option<Duration> {
     let is_decimal = |c: char| c.is_ascii_digit() || c == '.';
     let text = Some(text).filter(|text| text.chars().all(is_decimal))?;
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-/// The time until a date; none is left of a past one.
+/// Parses an HTTP date and returns the time from `answered_at` to it; zero for a past date.
 fn parse_date_as_delay(text: &str, answered_at: SystemTime) -> Option<Duration> {
     let date = httpdate::parse_http_date(text).ok()?;
     Some(date.duration_since(answered_at).unwrap_or_default())
--- a/shalehinge/src/core/superseded.rs
+++ b/shalehinge/src/core/superseded.rs
@@ -1,18 +1,19 @@
-//! Since when a daemon knows that its configuration is not the newest.
+//! Tracks since when a daemon knows that its configuration is out of date.
 //!
-//! A peer tells the version in force there at once, while the configuration itself may take its
-//! time over a busy link. What an operator took away must not go on working meanwhile. A daemon
-//! that no peer tells of it any more is cut off, and goes on with what it knows.
+//! Peers report the version in force at once, while the transfer of the configuration itself may
+//! take long over a congested link. Permissions that an operator revoked must not stay usable in
+//! the meantime. A daemon that hears no such reports any more is cut off from its peers, and
+//! continues with the configuration it has.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::types::{FleetVersion, Timestamp};
 
-/// Versions that are remembered. A change each 0.3 s for five seconds.
+/// Maximum number of versions that are tracked: enough for a change every 0.3 s over 5 s.
 const MAX_REMEMBERED: usize = 16;
 
-/// Configurations that a daemon heard of and does not have.
+/// Newer configurations that peers reported and that the daemon does not have yet.
 #[derive(Clone, Debug, Default)]
 pub struct NewerConfigurations {
     first_reported_at: BTreeMap<FleetVersion, Timestamp>,
@@ -20,7 +21,7 @@
 }
 
 impl NewerConfigurations {
-    /// A peer has this version in force; `own` is in force here.
+    /// Records that a peer has `version` in force, while `own` is in force at this daemon.
     pub fn on_reported(&mut self, now: Timestamp, version: FleetVersion, own: FleetVersion) {
         self.on_accepted(own);
         if !version.supersedes(own) {
@@ -32,14 +33,14 @@
         }
     }
 
-    /// This version is in force here.
+    /// Records that `own` is now in force at this daemon.
     pub fn on_accepted(&mut self, own: FleetVersion) {
         self.first_reported_at
             .retain(|version, _| version.supersedes(own));
     }
 
-    /// Whether peers have told of a newer version than the one in force here for so long, and
-    /// not for so long ago.
+    /// Whether a newer version was first reported at least `time` ago, and the last report of any
+    /// newer version is less than `time` old.
     pub fn is_outdated_for(&self, now: Timestamp, time: Duration) -> bool {
         let mut first_reports = self.first_reported_at.values();
         let is_long_outdated = first_reports.any(|at| now.since(*at) >= time);
--- a/shalehinge/src/core/types.rs
+++ b/shalehinge/src/core/types.rs
@@ -1,4 +1,4 @@
-//! Identifiers and monotonic time, used by every part of the core.
+//! Identifiers and monotonic time, used throughout the core.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name as it stands.
+            /// Wraps a name without validating or normalizing it.
             pub fn new(name: &str) -> Self {
                 Self(name.into())
             }
@@ -41,19 +41,19 @@
     HostId
 );
 name_type!(
-    /// A part of the fleet that fails, or is cut off, as a whole.
+    /// A part of the fleet that fails, or becomes unreachable, as a whole.
     FailureDomain
 );
 name_type!(
-    /// A set of hosts that one fabric connects; a replica never leaves it.
+    /// A set of hosts connected by one network fabric; a replica never spans two of them.
     FabricDomain
 );
 name_type!(
-    /// One of those who share the fleet.
+    /// One of the customers that share the fleet.
     Customer
 );
 name_type!(
-    /// A model as callers name it.
+    /// The name under which callers request a model.
     ModelName
 );
 name_type!(
@@ -61,26 +61,27 @@
     ModelVersion
 );
 name_type!(
-    /// A plain service beside the model engines.
+    /// A plain service that the fleet runs besides model engines.
     ServiceName
 );
 name_type!(
-    /// A daemon, named in its settings.
+    /// A daemon, by the name in its settings file.
     DaemonId
 );
 
-/// Which run of a daemon: a new random number at each start.
+/// Identifies one run of a daemon process; chosen at random at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Identifies one write to the platform, so that a read-back can tell whose it was.
+/// Identifies one write to the platform, so that a read-back shows which write took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OperationId(pub u64);
 
-/// Epoch of a control lease; each new holder has a higher one. Engines take it as a fencing token,
-/// so that it rises over eras too, although a lease may be lost with the writes of one.
+/// Epoch of a control lease; each new holder gets a higher one. Engines use it as a fencing token,
+/// so it must also increase from one store era to the next, even if the lease itself was among
+/// the writes that the store lost.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -88,27 +89,27 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Epochs of one era. A new holder each second takes twelve days to use them up.
+    /// Number of epochs reserved for each era. With a new holder every second they last 12 days.
     const PER_ERA: u64 = 1 << 20;
 
-    /// The first of an era, above all of the eras before it.
+    /// The first epoch of an era; it is higher than all epochs of earlier eras.
     pub const fn first_of(era: StoreEra) -> Self {
         Self(era.max_predecessors() * Self::PER_ERA)
     }
 
-    /// The next one, in this era.
+    /// The next epoch; at least the first one of `era`.
     pub fn next_in(self, era: StoreEra) -> Self {
         Self(self.0 + 1).max(Self::first_of(era))
     }
 
-    /// Whether it was given out before this era.
+    /// Whether the epoch was assigned before `era`.
     pub fn is_before(self, era: StoreEra) -> bool {
         self < Self::first_of(era)
     }
 }
 
-/// Number of a host group within its failure domain; never used twice. 0 is no group
-/// of an assignment: see [`GroupNumber::PRIMING`].
+/// Number of a host group within its failure domain; never reused. 0 never names a group of an
+/// assignment: see [`GroupNumber::PRIMING`].
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -116,19 +117,19 @@
 pub struct GroupNumber(pub u64);
 
 impl GroupNumber {
-    /// A free host joins this group alone, to hold a model's weights in memory. It never
-    /// opens, and any group of an assignment is newer.
+    /// A pseudo-group that a free host joins on its own to preload a model's weights into memory.
+    /// It never takes requests, and every group of an assignment counts as newer.
     pub const PRIMING: Self = Self(0);
-    /// The first number of a group of an assignment.
+    /// The lowest number of a group in an assignment.
     pub const FIRST: Self = Self(1);
 }
 
-/// A host group of the whole fleet, and so the replica that it forms.
+/// Identifies a host group fleet-wide, and thereby the replica that it forms.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// Where all its members are.
+    /// The failure domain of all its members.
     pub failure_domain: FailureDomain,
-    /// Its number there.
+    /// The group number within that failure domain.
     pub number: GroupNumber,
 }
 
@@ -138,17 +139,17 @@
     }
 }
 
-/// A request that this daemon took in.
+/// A request accepted by this daemon; unique within one run of the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u64);
 
-/// One try of a request at one upstream; unique over daemons and restarts.
+/// One attempt to run a request at one upstream; unique across daemons and restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The daemon run that made it.
+    /// The run of the daemon that made the attempt.
     pub incarnation: Incarnation,
-    /// Counts the attempts of that run.
+    /// Sequence number of the attempt within that run.
     pub sequence: u64,
 }
 
@@ -158,21 +159,21 @@
     }
 }
 
-/// When a host's engine started, in Unix milliseconds by the host's own clock. It names one life
-/// of the engine: another value is another life, whichever is the greater, as that clock may
-/// jump; which life is the later one the version of the list tells.
+/// When a host's engine started, in Unix milliseconds by the host's own clock. The value
+/// identifies one run of the engine. Two different values mean two runs, but don't show which
+/// came first, as that clock may jump; the version of the host list shows which run is later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EngineStart(pub u64);
 
 impl EngineStart {
-    /// Whether two lives are known not to be the same one.
+    /// Whether both start times are known and belong to different runs.
     pub fn differ(one: Option<Self>, other: Option<Self>) -> bool {
         matches!((one, other), (Some(one), Some(other)) if one != other)
     }
 }
 
-/// Monotonic time since the daemon's start. Clocks of two daemons are never compared.
+/// Monotonic time since the daemon's start. Timestamps of two daemons are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -180,35 +181,35 @@
 pub struct Timestamp(Duration);
 
 impl Timestamp {
-    /// The start of the daemon.
+    /// The time at which the daemon started.
     pub const ZERO: Self = Self(Duration::ZERO);
 
-    /// A time so long after the start.
+    /// The time `since_start` after the daemon's start.
     pub const fn from_duration(since_start: Duration) -> Self {
         Self(since_start)
     }
 
-    /// A time so many milliseconds after the start.
+    /// The time `millis` milliseconds after the daemon's start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// Time passed since `earlier`; zero if that lies in the future.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Milliseconds passed since `earlier`, rounded up: what is told must never seem newer.
+    /// Milliseconds elapsed since `earlier`, rounded up, so that a reported age is never too low.
     pub fn millis_since(self, earlier: Self) -> u64 {
         self.since(earlier).as_millis() as u64 + 1
     }
 
-    /// Time since the start.
+    /// Time since the daemon's start.
     pub const fn as_duration(self) -> Duration {
         self.0
     }
 
-    /// This time less `duration`, not before the start.
+    /// The time `duration` earlier, but not before the daemon's start.
     pub fn minus(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(duration))
     }
@@ -222,5 +223,5 @@
     }
 }
 
-/// Address of a process, always by IP number.
+/// Network address of a process; always an IP address and port, never a host name.
 pub type Address = SocketAddr;
--- a/shalehinge/src/core/version.rs
+++ b/shalehinge/src/core/version.rs
@@ -1,7 +1,8 @@
-//! Versions of objects in the platform, and the era of the store that gave them out.
+//! Versions of objects in the platform, and the store eras in which they were assigned.
 //!
-//! A store that is restored from a copy loses its last writes and gives out their numbers anew. So
-//! a number says something only together with its era, and versions compare as a whole.
+//! A store that is restored from a backup loses its last writes and assigns their revision numbers
+//! again. A number is therefore meaningful only together with its era, and versions are always
+//! compared as a pair of both.
 
 use std::fmt;
 
@@ -9,8 +10,8 @@
 
 use super::types::Epoch;
 
-/// How often the platform's store was restored from a copy, by its own count. A store that reports no era
-/// is before all that do.
+/// How often the platform's store has been restored from a backup, by its own count. A store that
+/// reports no era sorts before every store that reports one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,20 +21,20 @@
 impl StoreEra {
     /// The era of a store that reports none.
     pub const UNREPORTED: Self = Self(None);
-    /// The last one that there can be.
+    /// The highest possible era.
     pub const LAST: Self = Self(Some(u32::MAX));
 
-    /// An era by its number.
+    /// The era with this number.
     pub const fn new(number: u32) -> Self {
         Self(Some(number))
     }
 
-    /// Its number, if the store reported one.
+    /// The number, if the store reported one.
     pub const fn number(self) -> Option<u32> {
         self.0
     }
 
-    /// How many eras may have been before it, at most.
+    /// The highest number of eras that can precede this one.
     pub const fn max_predecessors(self) -> u64 {
         match self.0 {
             Some(number) => number as u64 + 1,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Reads an era as a store reports it: decimal digits alone.
+    /// Parses an era as reported by a store. Only decimal digits are accepted; `None` otherwise.
     pub fn parse(text: &str) -> Option<Self> {
         let is_decimal = text.bytes().all(|byte| byte.is_ascii_digit());
         text.parse().ok().filter(|_| is_decimal).map(Self::new)
@@ -57,43 +58,43 @@
     }
 }
 
-/// Version of an object, or how far all changes of the store have come. Any version of a later
-/// era is newer than all versions of the eras before it.
+/// Version of an object, or a revision of the store as a whole. Members are compared in the order
+/// of their declaration: every version of a later era is newer than all of earlier eras.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The era in which it was reported.
+    /// The store era in which the version was reported.
     pub era: StoreEra,
-    /// The store's number; 0 for an object that does not exist.
+    /// The store's revision number; 0 for an object that does not exist.
     pub number: u64,
 }
 
 impl Version {
-    /// Older than any other.
+    /// Lower than every other version.
     pub const NONE: Self = Self::absent(StoreEra::UNREPORTED);
-    /// Newer than any other.
+    /// Higher than every other version.
     pub const MAX: Self = Self {
         era: StoreEra::LAST,
         number: u64::MAX,
     };
 
-    /// A version that the store reported in an era.
+    /// The version `number`, reported by the store in `era`.
     pub const fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// A version of a store that reports no era.
+    /// A version reported by a store that reports no era.
     pub const fn without_era(number: u64) -> Self {
         Self::new(StoreEra::UNREPORTED, number)
     }
 
-    /// That of an object that does not exist in an era.
+    /// The version of an object that does not exist in `era`.
     pub const fn absent(era: StoreEra) -> Self {
         Self { era, number: 0 }
     }
 
-    /// Whether it is that of an object that does not exist.
+    /// Whether this is the version of an object that does not exist.
     pub const fn is_absent(self) -> bool {
         self.number == 0
     }
@@ -109,26 +110,26 @@
     }
 }
 
-/// Which configuration. The writer's own number goes first, as it outlasts the store: what the
-/// store lost is not followed by an older configuration.
+/// Version of a configuration. The writer's generation is compared first, as it survives a restore
+/// of the store: a daemon never replaces a configuration that the store lost by an older one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct FleetVersion {
-    /// The number that its writer gave it; 0 where writers give none.
+    /// Number assigned by the writer; 0 where writers assign none.
     pub generation: u64,
-    /// The store's version of it.
+    /// Version assigned by the store.
     pub stored: Version,
 }
 
 impl FleetVersion {
-    /// Older than any other.
+    /// Lower than every other version.
     pub const NONE: Self = Self {
         generation: 0,
         stored: Version::NONE,
     };
 
-    /// A configuration whose writer gave it no number.
+    /// The version of a configuration whose writer assigned no generation.
     pub const fn without_generation(stored: Version) -> Self {
         Self {
             generation: 0,
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Whether this is a later configuration, not the same one reported in another era.
+    /// Whether this is a later configuration than `other`, not the same one reported in another
+    /// era.
     pub fn supersedes(self, other: Self) -> bool {
         let is_same_era = self.stored.era == other.stored.era;
         self > other && (self.generation > other.generation || is_same_era)
@@ -149,14 +151,14 @@
     }
 }
 
-/// Which assignment. All writes under one epoch are of one era, so that their numbers compare
-/// whatever era reported them last.
+/// Version of an assignment. All writes under one epoch happen in one store era, so their numbers
+/// are comparable whichever era reported them last.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct AssignmentVersion {
-    /// The epoch under which it was written.
+    /// Epoch of the lease under which it was written.
     pub epoch: Epoch,
-    /// The store's number of it.
+    /// Revision number assigned by the store.
     pub number: u64,
 }
