--- a/shalehinge/tests/advertised_limit.rs
+++ b/shalehinge/tests/advertised_limit.rs
@@ -10,7 +10,7 @@
     RequestRate::per_second(value).expect("a rate")
 }
 
-fn read(values: &[&str]) -> AdvertisedLimit {
+fn parse_limit(values: &[&str]) -> AdvertisedLimit {
     AdvertisedLimit::parse(values.iter().copied())
 }
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_decimal_number_is_a_limit() {
+fn a_decimal_number_is_parsed_as_a_limit() {
     for (text, value) in [
         ("1.4", 1.4),
         ("0", 0.0),
@@ -27,48 +27,51 @@
         (" 50 ", 50.0),
         ("007", 7.0),
     ] {
-        assert_eq!(read(&[text]), AdvertisedLimit::Rate(rate(value)));
+        assert_eq!(parse_limit(&[text]), AdvertisedLimit::Rate(rate(value)));
     }
-    assert_eq!(read(&[]), AdvertisedLimit::None);
+    assert_eq!(parse_limit(&[]), AdvertisedLimit::None);
 }
 
 #[test]
-fn what_is_no_number_of_requests_is_no_limit() {
-    let huge = "9".repeat(400);
+fn a_value_that_is_no_rate_is_unreadable() {
+    let too_large = "9".repeat(400);
     for text in [
         "", " ", "NaN", "-1", "1e309", "0x10", "inf", "some", "1,4", ".", "1.2.3", "1e3", "+5",
-        "-0", &huge,
+        "-0", &too_large,
     ] {
-        let limit = read(&[text]);
+        let limit = parse_limit(&[text]);
         assert!(
             matches!(limit, AdvertisedLimit::Unreadable(_)),
             "{text}: {limit:?}"
         );
     }
-    assert!(matches!(read(&["1", "2"]), AdvertisedLimit::Unreadable(_)));
-    let AdvertisedLimit::Unreadable(kept) = read(&[&"x".repeat(100_000)]) else {
+    assert!(matches!(
+        parse_limit(&["1", "2"]),
+        AdvertisedLimit::Unreadable(_)
+    ));
+    let AdvertisedLimit::Unreadable(logged_text) = parse_limit(&[&"x".repeat(100_000)]) else {
         panic!("it can't be read");
     };
-    assert!(kept.len() <= 40, "the log stays bounded");
+    assert!(logged_text.len() <= 40, "the log stays bounded");
 }
 
 #[test]
-fn a_limit_begins_changes_and_ends_with_a_line_each() {
+fn a_limit_that_begins_changes_or_ends_is_reported_once_each() {
     let mut state = LimitState::default();
-    let named = |value| AdvertisedLimit::Rate(rate(value));
+    let rate_limit = |value| AdvertisedLimit::Rate(rate(value));
     assert_eq!(state.hear(at(1), at(0), AdvertisedLimit::None), None);
     assert_eq!(
-        state.hear(at(2), at(1), named(1.4)),
+        state.hear(at(2), at(1), rate_limit(1.4)),
         Some(LimitChange::Begins(rate(1.4)))
     );
-    assert_eq!(state.hear(at(3), at(2), named(1.4)), None);
+    assert_eq!(state.hear(at(3), at(2), rate_limit(1.4)), None);
     assert_eq!(
-        state.hear(at(4), at(3), named(1.45)),
+        state.hear(at(4), at(3), rate_limit(1.45)),
         None,
         "nearly the same"
     );
     assert_eq!(
-        state.hear(at(5), at(4), named(0.7)),
+        state.hear(at(5), at(4), rate_limit(0.7)),
         Some(LimitChange::Changes(rate(0.7)))
     );
     assert_eq!(state.rate(), Some(rate(0.7)));
@@ -80,7 +83,7 @@
 }
 
 #[test]
-fn an_answer_to_a_request_from_before_a_limit_ends_nothing() {
+fn a_response_to_a_request_sent_before_a_limit_does_not_end_it() {
     let mut state = LimitState::default();
     state.hear(at(5), at(4), AdvertisedLimit::Rate(rate(1.0)));
     assert_eq!(state.hear(at(6), at(4), AdvertisedLimit::None), None);
@@ -88,11 +91,11 @@
 }
 
 #[test]
-fn what_cannot_be_read_changes_nothing_and_makes_one_line() {
+fn an_unreadable_value_keeps_the_limit_and_is_reported_once() {
     let mut state = LimitState::default();
-    let garbled = || AdvertisedLimit::Unreadable("x".to_owned());
+    let unreadable = || AdvertisedLimit::Unreadable("x".to_owned());
     state.hear(at(1), at(0), AdvertisedLimit::Rate(rate(1.0)));
-    assert!(state.hear(at(2), at(1), garbled()).is_some());
-    assert_eq!(state.hear(at(3), at(2), garbled()), None);
+    assert!(state.hear(at(2), at(1), unreadable()).is_some());
+    assert_eq!(state.hear(at(3), at(2), unreadable()), None);
     assert_eq!(state.rate(), Some(rate(1.0)));
 }
--- a/shalehinge/tests/clock.rs
+++ b/shalehinge/tests/clock.rs
@@ -6,18 +6,18 @@
 use shalehinge::utils::clock::Clock;
 
 #[test]
-fn it_starts_at_zero_and_goes_on_with_the_clock_that_counts_sleep() {
+fn clock_starts_at_zero_and_does_not_run_ahead_of_the_boot_time_clock() {
     let before = clock_gettime(ClockId::Boottime);
     let clock = Clock::start();
-    let steady = Instant::now();
-    while steady.elapsed() < Duration::from_millis(5) {
+    let monotonic_start = Instant::now();
+    while monotonic_start.elapsed() < Duration::from_millis(5) {
         std::hint::spin_loop();
     }
     let elapsed = clock.elapsed();
     let after = clock_gettime(ClockId::Boottime);
     let nanos = |time: rustix::time::Timespec| time.tv_sec * 1_000_000_000 + time.tv_nsec;
-    let most = Duration::from_nanos((nanos(after) - nanos(before)).unsigned_abs());
+    let max_elapsed = Duration::from_nanos((nanos(after) - nanos(before)).unsigned_abs());
     assert!(elapsed >= Duration::from_millis(5), "{elapsed:?}");
-    assert!(elapsed <= most, "{elapsed:?} of {most:?}");
+    assert!(elapsed <= max_elapsed, "{elapsed:?} of {max_elapsed:?}");
     assert!(clock.elapsed() >= elapsed, "never less than before");
 }
--- a/shalehinge/tests/operator.rs
+++ b/shalehinge/tests/operator.rs
@@ -18,14 +18,14 @@
     Version,
 };
 
-const ID: OperatorCallId = OperatorCallId(1);
+const CALL_ID: OperatorCallId = OperatorCallId(1);
 const OPERATION: OperationId = OperationId(77);
 
 fn at(seconds: u64) -> Timestamp {
     Timestamp::from_millis(seconds * 1_000)
 }
 
-fn listed() -> PlatformResult {
+fn list_reply() -> PlatformResult {
     Ok(PlatformReply::Objects {
         revision: Version::without_era(1),
         updates: Vec::new(),
@@ -33,7 +33,7 @@
 }
 
 /// A fleet of so many hosts, with a customer, at a version.
-fn fleet_of(hosts: u16, version: u64) -> FleetState {
+fn fleet_with_hosts(hosts: u16, version: u64) -> FleetState {
     let mut state = FleetState::default();
     let mut fleet = FleetConfig::default();
     let customer = CustomerConfig {
@@ -42,7 +42,7 @@
         rank: None,
     };
     fleet.customers.insert(Customer::new("c"), customer);
-    update(&mut state, ObjectKey::Fleet, version, Object::Fleet(fleet));
+    apply_update(&mut state, ObjectKey::Fleet, version, Object::Fleet(fleet));
     add_hosts(&mut state, hosts, 1);
     state
 }
@@ -65,10 +65,10 @@
         list.hosts
             .insert(HostId::new(&format!("h{number}")), record);
     }
-    update(state, ObjectKey::Hosts, version, Object::Hosts(list));
+    apply_update(state, ObjectKey::Hosts, version, Object::Hosts(list));
 }
 
-fn update(state: &mut FleetState, key: ObjectKey, version: u64, object: Object) {
+fn apply_update(state: &mut FleetState, key: ObjectKey, version: u64, object: Object) {
     let version = Version::without_era(version);
     state.apply(ObjectUpdate {
         key,
@@ -89,8 +89,8 @@
 
 fn plan(state: &FleetState) -> Plan {
     let mut operators = OperatorCalls::default();
-    operators.begin(at(0), ID, OperatorCall::Plan(intent()));
-    match operators.on_platform(at(0), ID, &listed(), state) {
+    operators.begin(at(0), CALL_ID, OperatorCall::Plan(intent()));
+    match operators.on_platform(at(0), CALL_ID, &list_reply(), state) {
         Some(OperatorStep::Answer(OperatorAnswer::Planned(plan))) => *plan,
         other => panic!("no plan: {other:?}"),
     }
@@ -105,7 +105,7 @@
     })
 }
 
-fn is_write(step: Option<&OperatorStep>) -> bool {
+fn is_expected_write(step: Option<&OperatorStep>) -> bool {
     let base = Version::without_era(3);
     matches!(
         step,
@@ -114,12 +114,12 @@
 }
 
 /// A confirm whose write was sent and whose answer was lost.
-fn with_unclear_write(state: &FleetState) -> OperatorCalls {
+fn calls_with_unclear_write(state: &FleetState) -> OperatorCalls {
     let mut operators = OperatorCalls::default();
-    operators.begin(at(0), ID, confirm(plan(state)));
-    let step = operators.on_platform(at(0), ID, &listed(), state);
-    assert!(is_write(step.as_ref()), "{step:?}");
-    let step = operators.on_platform(at(1), ID, &Err(NoAnswer), state);
+    operators.begin(at(0), CALL_ID, confirm(plan(state)));
+    let step = operators.on_platform(at(0), CALL_ID, &list_reply(), state);
+    assert!(is_expected_write(step.as_ref()), "{step:?}");
+    let step = operators.on_platform(at(1), CALL_ID, &Err(NoAnswer), state);
     assert_eq!(
         step,
         Some(OperatorStep::Platform(PlatformCall::List {
@@ -131,35 +131,35 @@
 }
 
 #[test]
-fn an_unclear_write_that_may_still_land_is_not_answered_as_out_of_date() {
-    let mut state = fleet_of(4, 3);
-    let mut operators = with_unclear_write(&state);
+fn an_unclear_write_that_may_still_take_effect_is_sent_again() {
+    let mut state = fleet_with_hosts(4, 3);
+    let mut operators = calls_with_unclear_write(&state);
     // The plan would be another by now, but the write on its way is not undone.
     add_hosts(&mut state, 9, 2);
-    let step = operators.on_platform(at(2), ID, &listed(), &state);
-    assert!(is_write(step.as_ref()), "{step:?}");
+    let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
+    assert!(is_expected_write(step.as_ref()), "{step:?}");
 }
 
 #[test]
-fn an_unclear_write_that_took_effect_is_confirmed() {
-    let mut state = fleet_of(4, 3);
-    let mut operators = with_unclear_write(&state);
+fn an_unclear_write_that_took_effect_is_answered_as_confirmed() {
+    let mut state = fleet_with_hosts(4, 3);
+    let mut operators = calls_with_unclear_write(&state);
     let mut fleet = state.fleet().expect("there").value.clone();
     fleet.operations.record(OPERATION);
-    update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
-    let step = operators.on_platform(at(2), ID, &listed(), &state);
+    apply_update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
+    let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
     let version = Version::without_era(4);
     let answer = OperatorAnswer::Confirmed { version };
     assert_eq!(step, Some(OperatorStep::Answer(answer)));
 }
 
 #[test]
-fn an_unclear_write_that_lost_a_race_is_out_of_date() {
-    let mut state = fleet_of(4, 3);
-    let mut operators = with_unclear_write(&state);
+fn an_unclear_write_that_lost_to_another_write_is_answered_as_out_of_date() {
+    let mut state = fleet_with_hosts(4, 3);
+    let mut operators = calls_with_unclear_write(&state);
     let fleet = state.fleet().expect("there").value.clone();
-    update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
-    let step = operators.on_platform(at(2), ID, &listed(), &state);
+    apply_update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
+    let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
     let is_out_of_date = matches!(
         step,
         Some(OperatorStep::Answer(OperatorAnswer::OutOfDate { version, .. })) if version == Version::without_era(4)
@@ -168,22 +168,22 @@
 }
 
 #[test]
-fn what_stays_unclear_is_said_to_be_unclear() {
-    let state = fleet_of(4, 3);
-    let mut operators = with_unclear_write(&state);
+fn a_write_that_stays_unclear_until_the_timeout_is_answered_as_unclear() {
+    let state = fleet_with_hosts(4, 3);
+    let mut operators = calls_with_unclear_write(&state);
     let later = at(0) + Duration::from_secs(60);
-    let step = operators.on_platform(later, ID, &Err(NoAnswer), &state);
+    let step = operators.on_platform(later, CALL_ID, &Err(NoAnswer), &state);
     assert_eq!(step, Some(OperatorStep::Answer(OperatorAnswer::Unclear)));
 }
 
 #[test]
-fn a_plan_whose_objects_changed_is_out_of_date_before_anything_is_written() {
-    let mut state = fleet_of(4, 3);
+fn a_confirm_is_out_of_date_without_a_write_if_the_plan_has_changed() {
+    let mut state = fleet_with_hosts(4, 3);
     let call = confirm(plan(&state));
     add_hosts(&mut state, 9, 2);
     let mut operators = OperatorCalls::default();
-    operators.begin(at(0), ID, call);
-    let step = operators.on_platform(at(0), ID, &listed(), &state);
+    operators.begin(at(0), CALL_ID, call);
+    let step = operators.on_platform(at(0), CALL_ID, &list_reply(), &state);
     let is_out_of_date = matches!(
         step,
         Some(OperatorStep::Answer(OperatorAnswer::OutOfDate {
--- a/shalehinge/tests/signal.rs
+++ b/shalehinge/tests/signal.rs
@@ -13,11 +13,11 @@
     UNIX_EPOCH + Duration::from_secs(784_111_777)
 }
 
-fn read(status: u16, values: &[&str]) -> RequestedCooldown {
+fn parse_cooldown(status: u16, values: &[&str]) -> RequestedCooldown {
     RequestedCooldown::parse(status, values.iter().copied(), answered_at)
 }
 
-fn seconds(value: f64) -> RequestedCooldown {
+fn cooldown_of(value: f64) -> RequestedCooldown {
     RequestedCooldown::For(Duration::from_secs_f64(value))
 }
 
@@ -26,54 +26,58 @@
 }
 
 #[test]
-fn seconds_fractions_and_dates_are_cooldowns() {
-    assert_eq!(read(503, &["3"]), seconds(3.0));
-    assert_eq!(read(429, &[" 2.5 "]), seconds(2.5));
-    assert_eq!(read(503, &["0"]), seconds(0.0));
-    assert_eq!(read(503, &["86400"]), seconds(86_400.0));
+fn seconds_fractions_and_dates_are_parsed_as_cooldowns() {
+    assert_eq!(parse_cooldown(503, &["3"]), cooldown_of(3.0));
+    assert_eq!(parse_cooldown(429, &[" 2.5 "]), cooldown_of(2.5));
+    assert_eq!(parse_cooldown(503, &["0"]), cooldown_of(0.0));
+    assert_eq!(parse_cooldown(503, &["86400"]), cooldown_of(86_400.0));
     let in_ten_seconds = "Sun, 06 Nov 1994 08:49:47 GMT";
-    assert_eq!(read(503, &[in_ten_seconds]), seconds(10.0));
+    assert_eq!(parse_cooldown(503, &[in_ten_seconds]), cooldown_of(10.0));
     let past = "Sun, 06 Nov 1994 08:00:00 GMT";
-    assert_eq!(read(503, &[past]), seconds(0.0));
+    assert_eq!(parse_cooldown(503, &[past]), cooldown_of(0.0));
 }
 
 #[test]
-fn what_is_no_time_makes_no_cooldown() {
+fn a_value_that_is_no_time_sets_no_cooldown() {
     for text in [
         "", "-3", "NaN", "inf", "1e309", "3 s", "soon", "0x10", "1.2.3",
     ] {
-        let read = read(503, &[text]);
-        let is_unreadable = matches!(read, RequestedCooldown::Unreadable(_));
-        assert!(is_unreadable, "{text:?}: {read:?}");
+        let cooldown = parse_cooldown(503, &[text]);
+        let is_unreadable = matches!(cooldown, RequestedCooldown::Unreadable(_));
+        assert!(is_unreadable, "{text:?}: {cooldown:?}");
     }
-    let twice = read(503, &["1", "5"]);
-    assert_eq!(twice, RequestedCooldown::Unreadable("1, 5".to_owned()));
+    let repeated = parse_cooldown(503, &["1", "5"]);
+    assert_eq!(repeated, RequestedCooldown::Unreadable("1, 5".to_owned()));
 }
 
 #[test]
-fn a_time_beyond_any_clock_is_kept_without_harm() {
-    let longest = read(503, &["18446744073709549568"]);
+fn a_cooldown_beyond_the_range_of_timestamps_does_not_overflow() {
+    let longest = parse_cooldown(503, &["18446744073709549568"]);
     let mut cooldown = Cooldown::default();
     cooldown.on_requested(at(1_000), &longest);
     assert!(cooldown.until() > at(1_000));
 }
 
 #[test]
-fn other_statuses_ask_for_no_cooldown() {
+fn only_statuses_429_and_503_request_a_cooldown() {
     for status in [200, 301, 404, 421, 500] {
-        assert_eq!(read(status, &["3"]), RequestedCooldown::None, "{status}");
+        assert_eq!(
+            parse_cooldown(status, &["3"]),
+            RequestedCooldown::None,
+            "{status}"
+        );
     }
-    assert_eq!(read(503, &[]), RequestedCooldown::None);
+    assert_eq!(parse_cooldown(503, &[]), RequestedCooldown::None);
 }
 
 #[test]
-fn a_later_answer_ends_no_cooldown_early() {
+fn a_later_response_does_not_shorten_a_cooldown() {
     let mut cooldown = Cooldown::default();
-    let began = cooldown.on_requested(at(0), &seconds(5.0));
-    assert_eq!(began, Some(CooldownChange::Begins(Duration::from_secs(5))));
-    assert_eq!(cooldown.on_requested(at(1_000), &seconds(1.0)), None);
+    let change = cooldown.on_requested(at(0), &cooldown_of(5.0));
+    assert_eq!(change, Some(CooldownChange::Begins(Duration::from_secs(5))));
+    assert_eq!(cooldown.on_requested(at(1_000), &cooldown_of(1.0)), None);
     assert_eq!(cooldown.until(), at(5_000));
-    assert_eq!(cooldown.on_requested(at(2_000), &seconds(4.0)), None);
+    assert_eq!(cooldown.on_requested(at(2_000), &cooldown_of(4.0)), None);
     assert_eq!(cooldown.until(), at(6_000));
     assert!(!cooldown.take_end(at(5_999)));
     assert!(cooldown.take_end(at(6_000)));
@@ -81,13 +85,13 @@
 }
 
 #[test]
-fn one_request_at_a_time_follows_a_cooldown_until_one_brings_output() {
+fn after_a_cooldown_requests_are_sent_one_at_a_time_until_one_produces_output() {
     let mut cooldown = Cooldown::default();
-    cooldown.on_requested(at(0), &seconds(1.0));
+    cooldown.on_requested(at(0), &cooldown_of(1.0));
     cooldown.on_sent(at(1_000));
     assert!(!cooldown.has_room());
     // It is turned away again.
-    cooldown.on_requested(at(1_010), &seconds(1.0));
+    cooldown.on_requested(at(1_010), &cooldown_of(1.0));
     cooldown.on_ended(at(1_000));
     assert_eq!(cooldown.blocked_until(at(1_011)), Some(at(2_010)));
     assert!(cooldown.has_room(), "once that has passed");
@@ -100,50 +104,53 @@
 }
 
 #[test]
-fn a_cooldown_of_a_day_is_tested_twice_and_ends_with_an_answer() {
-    const TEST_AFTER: u64 = 600_000;
+fn a_cooldown_of_a_day_is_probed_twice_and_ends_with_output() {
+    const PROBE_AFTER_MS: u64 = 600_000;
     let mut cooldown = Cooldown::default();
-    cooldown.on_requested(at(0), &seconds(86_400.0));
-    assert_eq!(cooldown.blocked_until(at(1)), Some(at(TEST_AFTER)));
-    cooldown.on_sent(at(TEST_AFTER));
-    cooldown.on_ended(at(TEST_AFTER));
+    cooldown.on_requested(at(0), &cooldown_of(86_400.0));
+    assert_eq!(cooldown.blocked_until(at(1)), Some(at(PROBE_AFTER_MS)));
+    cooldown.on_sent(at(PROBE_AFTER_MS));
+    cooldown.on_ended(at(PROBE_AFTER_MS));
     assert_eq!(
-        cooldown.blocked_until(at(TEST_AFTER)),
-        Some(at(2 * TEST_AFTER))
+        cooldown.blocked_until(at(PROBE_AFTER_MS)),
+        Some(at(2 * PROBE_AFTER_MS))
     );
-    cooldown.on_sent(at(2 * TEST_AFTER));
-    cooldown.on_ended(at(2 * TEST_AFTER));
-    let now = at(3 * TEST_AFTER);
+    cooldown.on_sent(at(2 * PROBE_AFTER_MS));
+    cooldown.on_ended(at(2 * PROBE_AFTER_MS));
+    let now = at(3 * PROBE_AFTER_MS);
     assert_eq!(cooldown.blocked_until(now), Some(at(86_400_000)));
-    cooldown.on_output(now, at(2 * TEST_AFTER));
+    cooldown.on_output(now, at(2 * PROBE_AFTER_MS));
     assert_eq!(cooldown.blocked_until(now), None);
     assert!(cooldown.take_end(now));
 }
 
 #[test]
-fn what_cannot_be_read_is_reported_once() {
+fn an_unreadable_value_is_reported_once() {
     let mut cooldown = Cooldown::default();
-    let garbled = RequestedCooldown::Unreadable("soon".to_owned());
-    assert!(cooldown.on_requested(at(0), &garbled).is_some());
-    assert_eq!(cooldown.on_requested(at(1), &garbled), None);
+    let unreadable = RequestedCooldown::Unreadable("soon".to_owned());
+    assert!(cooldown.on_requested(at(0), &unreadable).is_some());
+    assert_eq!(cooldown.on_requested(at(1), &unreadable), None);
     assert_eq!(cooldown.blocked_until(at(2)), None);
 }
 
 #[test]
-fn only_a_one_marks_an_upstream_that_is_leaving() {
-    let read = |values: &[&str]| LeavingMark::parse(values.iter().copied());
-    assert_eq!(read(&[" 1 "]), LeavingMark::Leaving);
-    assert_eq!(read(&["0"]), LeavingMark::Absent);
-    assert_eq!(read(&[]), LeavingMark::Absent);
+fn only_the_value_1_marks_an_upstream_as_leaving() {
+    let parse_mark = |values: &[&str]| LeavingMark::parse(values.iter().copied());
+    assert_eq!(parse_mark(&[" 1 "]), LeavingMark::Leaving);
+    assert_eq!(parse_mark(&["0"]), LeavingMark::Absent);
+    assert_eq!(parse_mark(&[]), LeavingMark::Absent);
     for text in ["", "yes", "-1", "11"] {
-        let read = read(&[text]);
-        assert!(matches!(read, LeavingMark::Unreadable(_)), "{text:?}");
+        let mark = parse_mark(&[text]);
+        assert!(matches!(mark, LeavingMark::Unreadable(_)), "{text:?}");
     }
-    assert!(matches!(read(&["1", "1"]), LeavingMark::Unreadable(_)));
+    assert!(matches!(
+        parse_mark(&["1", "1"]),
+        LeavingMark::Unreadable(_)
+    ));
 }
 
 #[test]
-fn an_answer_without_the_mark_does_not_bring_a_leaving_upstream_back() {
+fn a_response_without_the_mark_does_not_reset_a_leaving_upstream() {
     let host = UpstreamId::Host(ServiceName::new("s"), HostId::new("h"));
     let mut state = LeavingState::default();
     assert!(state.on_marked(at(0), &LeavingMark::Leaving));
@@ -153,7 +160,7 @@
 }
 
 #[test]
-fn an_instance_whose_restart_nothing_shows_is_asked_again_after_a_minute() {
+fn an_instance_whose_restart_is_not_observable_is_retried_after_a_minute() {
     let instance = UpstreamId::Instance(ServiceName::new("s"), ([10, 0, 0, 1], 1).into());
     let mut state = LeavingState::default();
     state.on_marked(at(0), &LeavingMark::Leaving);
@@ -164,7 +171,7 @@
 }
 
 #[test]
-fn a_failure_that_states_nothing_is_not_passed_on() {
+fn an_error_response_that_states_nothing_is_not_relevant() {
     assert!(
         UpstreamSignal::status_only(200).is_relevant(),
         "it ends a limit"
--- a/shalehinge/tests/superseded.rs
+++ b/shalehinge/tests/superseded.rs
@@ -84,7 +84,7 @@
 }
 
 fn configuration(version: u64) -> ObjectUpdate {
-    let plain = ServiceName::new("plain");
+    let service_name = ServiceName::new("plain");
     let service = ServiceConfig {
         path_prefix: String::new(),
         upstreams: Vec::new(),
@@ -103,7 +103,7 @@
         is_anonymous: false,
         is_resumable: false,
         backends: vec![WeightedService {
-            service: plain.clone(),
+            service: service_name.clone(),
             weight: 1,
         }],
     };
@@ -111,7 +111,7 @@
         key: ObjectKey::Fleet,
         version: Version::without_era(version),
         object: Object::Fleet(FleetConfig {
-            services: BTreeMap::from([(plain, service)]),
+            services: BTreeMap::from([(service_name, service)]),
             routes: vec![route],
             ..FleetConfig::default()
         }),
@@ -119,7 +119,7 @@
 }
 
 /// A peer's answer: this version is in force there, and was confirmed so long ago.
-fn reply(version: u64, confirmed_ms_ago: u64) -> PullReply {
+fn pull_reply(version: u64, confirmed_ms_ago: u64) -> PullReply {
     PullReply {
         gossip: gossip(2),
         digest: digest(version),
@@ -134,27 +134,27 @@
 }
 
 /// An answer with the configuration itself.
-fn whole(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
+fn whole_reply(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
     Event::PullAnswered {
         topic: PullTopic::WholeObjects,
         asked_at,
         reply: Some(PullReply {
             updates: vec![configuration(version)],
-            ..reply(version, confirmed_ms_ago)
+            ..pull_reply(version, confirmed_ms_ago)
         }),
     }
 }
 
 /// An answer that tells versions only.
-fn versions(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
+fn versions_reply(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
     Event::PullAnswered {
         topic: PullTopic::All,
         asked_at,
-        reply: Some(reply(version, confirmed_ms_ago)),
+        reply: Some(pull_reply(version, confirmed_ms_ago)),
     }
 }
 
-fn notice(port: u16, version: u64) -> Event {
+fn notice_event(port: u16, version: u64) -> Event {
     Event::NoticeReceived(Notice {
         from: address(port),
         digest: digest(version),
@@ -187,32 +187,32 @@
 }
 
 /// Questions for whole objects among the actions.
-fn fetches(actions: &[Action]) -> usize {
-    let is_fetch = |action: &&Action| matches!(action, Action::Pull { pull, .. } if pull.topic == PullTopic::WholeObjects);
-    actions.iter().filter(is_fetch).count()
+fn count_whole_fetches(actions: &[Action]) -> usize {
+    let is_whole_fetch = |action: &&Action| matches!(action, Action::Pull { pull, .. } if pull.topic == PullTopic::WholeObjects);
+    actions.iter().filter(is_whole_fetch).count()
 }
 
 /// An operator took keys away, and a daemon behind a full link went on with them for six
 /// seconds, though its peers had told it long before that there was something newer.
 #[test]
-fn a_configuration_that_is_known_to_be_out_of_date_is_not_served_by_for_long() {
+fn an_outdated_configuration_stops_being_used_within_the_limit() {
     let mut daemon = daemon();
-    handle(&mut daemon, at(900), whole(at(800), 5, 100));
-    handle(&mut daemon, at(1_000), notice(2, 7));
+    handle(&mut daemon, at(900), whole_reply(at(800), 5, 100));
+    handle(&mut daemon, at(1_000), notice_event(2, 7));
     assert!(is_routed(&daemon, at(1_500)), "the newer one is on its way");
-    handle(&mut daemon, at(2_000), notice(3, 9));
+    handle(&mut daemon, at(2_000), notice_event(3, 9));
     assert!(!is_routed(&daemon, at(3_000)));
-    handle(&mut daemon, at(3_100), whole(at(1_000), 7, 50));
+    handle(&mut daemon, at(3_100), whole_reply(at(1_000), 7, 50));
     assert!(is_routed(&daemon, at(3_200)), "9 is known of since 2.0 s");
-    handle(&mut daemon, at(3_500), notice(4, 9));
+    handle(&mut daemon, at(3_500), notice_event(4, 9));
     assert!(!is_routed(&daemon, at(4_000)));
-    handle(&mut daemon, at(4_100), whole(at(4_050), 9, 50));
+    handle(&mut daemon, at(4_100), whole_reply(at(4_050), 9, 50));
     assert!(is_routed(&daemon, at(60_000)));
 }
 
 /// Bytes between failure domains are paid for: of 0.3 GB a day two thirds crossed them.
 #[test]
-fn peers_of_the_own_failure_domain_are_asked_first() {
+fn whole_objects_are_fetched_from_the_own_failure_domain_first() {
     let (near, far) = (address(2), address(3));
     let mut fetch = WholeFetch::default();
     fetch.hear(at(1_000), far, Distance::Far);
@@ -231,34 +231,38 @@
 
 /// A failure domain is cut off just after a rumour reached it: it serves what it can.
 #[test]
-fn a_daemon_that_is_cut_off_goes_on_with_what_it_knows() {
+fn a_daemon_cut_off_from_its_peers_keeps_its_configuration() {
     let mut daemon = daemon();
-    handle(&mut daemon, at(900), whole(at(800), 5, 100));
-    handle(&mut daemon, at(1_000), notice(2, 7));
-    handle(&mut daemon, at(2_000), notice(2, 7));
+    handle(&mut daemon, at(900), whole_reply(at(800), 5, 100));
+    handle(&mut daemon, at(1_000), notice_event(2, 7));
+    handle(&mut daemon, at(2_000), notice_event(2, 7));
     assert!(!is_routed(&daemon, at(3_000)));
     assert!(is_routed(&daemon, at(4_000)), "nobody tells of it any more");
 }
 
 #[test]
-fn one_peer_at_a_time_is_asked_for_whole_objects() {
+fn whole_objects_are_fetched_from_one_peer_at_a_time() {
     let mut daemon = daemon();
     let mut asked = 0;
     for port in 2..8 {
-        asked += fetches(&handle(&mut daemon, at(1_000), notice(port, 7)));
+        asked += count_whole_fetches(&handle(&mut daemon, at(1_000), notice_event(port, 7)));
     }
     assert_eq!(asked, 1);
-    let lost = Event::PullAnswered {
+    let unanswered = Event::PullAnswered {
         topic: PullTopic::WholeObjects,
         asked_at: at(1_000),
         reply: None,
     };
-    let actions = handle(&mut daemon, at(2_000), lost);
-    assert_eq!(fetches(&actions), 1, "the next one that told of it");
+    let actions = handle(&mut daemon, at(2_000), unanswered);
+    assert_eq!(
+        count_whole_fetches(&actions),
+        1,
+        "the next one that told of it"
+    );
 }
 
 /// How a request with a key ends that comes at this time.
-fn refusal_of_key(daemon: &mut Daemon, now: Timestamp) -> NotRunReason {
+fn not_run_reason_with_key(daemon: &mut Daemon, now: Timestamp) -> NotRunReason {
     handle(daemon, now, Event::Tick);
     let meta = RequestMeta {
         customer: Customer::new("one"),
@@ -292,28 +296,28 @@
 /// that starts in an outage hears one that was confirmed 3.8 s before: its own start confirms
 /// nothing.
 #[test]
-fn a_confirmation_from_before_the_start_counts_from_then() {
+fn the_age_of_a_confirmation_includes_time_before_the_start() {
     let mut daemon = daemon();
-    handle(&mut daemon, at(250), whole(at(200), 5, 3_800));
-    let reason = refusal_of_key(&mut daemon, at(300));
+    handle(&mut daemon, at(250), whole_reply(at(200), 5, 3_800));
+    let reason = not_run_reason_with_key(&mut daemon, at(300));
     assert_eq!(
         reason,
         NotRunReason::NoUpstream,
         "0.4 s are left from the start"
     );
-    let reason = refusal_of_key(&mut daemon, at(450));
+    let reason = not_run_reason_with_key(&mut daemon, at(450));
     assert_eq!(reason, NotRunReason::OutOfDate);
 }
 
 /// What a peer says of the age of its configuration says nothing of an older one.
 #[test]
-fn a_peer_with_a_newer_configuration_confirms_nothing() {
+fn a_peer_with_a_newer_configuration_does_not_confirm_an_older_one() {
     let mut daemon = daemon();
-    handle(&mut daemon, at(900), whole(at(800), 5, 100));
-    handle(&mut daemon, at(4_000), versions(at(3_990), 5, 10));
-    let reason = refusal_of_key(&mut daemon, at(5_000));
+    handle(&mut daemon, at(900), whole_reply(at(800), 5, 100));
+    handle(&mut daemon, at(4_000), versions_reply(at(3_990), 5, 10));
+    let reason = not_run_reason_with_key(&mut daemon, at(5_000));
     assert_eq!(reason, NotRunReason::NoUpstream, "confirmed at 3.98 s");
-    handle(&mut daemon, at(7_000), versions(at(6_990), 7, 10));
-    let reason = refusal_of_key(&mut daemon, at(8_500));
+    handle(&mut daemon, at(7_000), versions_reply(at(6_990), 7, 10));
+    let reason = not_run_reason_with_key(&mut daemon, at(8_500));
     assert_eq!(reason, NotRunReason::OutOfDate);
 }
