--- a/shalehinge/src/core/change.rs
+++ b/shalehinge/src/core/change.rs
@@ -45,7 +45,7 @@
         /// Version that its replicas run.
         version: ModelVersion,
     },
-    /// Drain a host: its running requests finish, and it gets no new work.
+    /// Drain a host, to take it out of use.
     Drain {
         /// Name of the host.
         host: HostId,
--- a/shalehinge/src/core/routes.rs
+++ b/shalehinge/src/core/routes.rs
@@ -158,8 +158,8 @@
     }
 }
 
-/// Selects a service by weight: `split_key` modulo the sum of all weights decides. With a sum of 0
-/// the first service is selected.
+/// Selects a service by weight: `split_key` modulo the sum of all weights decides. With a sum of
+/// 0 the first service is selected; `None` if the route has no services.
 fn select_backend(route: &RouteConfig, split_key: u64) -> Option<&ServiceName> {
     let total: u64 = route.backends.iter().map(|b| u64::from(b.weight)).sum();
     if total == 0 {
--- a/shalehinge/tests/advertised_limit.rs
+++ b/shalehinge/tests/advertised_limit.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of the requests that it takes, and how its limit begins, changes and ends.
+//! Tests of parsing advertised rate limits, and of how a limit begins, changes and ends.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use shalehinge::core::types::Timestamp;
 
 fn rate(value: f64) -> RequestRate {
-    RequestRate::per_second(value).expect("a rate")
+    RequestRate::per_second(value).expect("a valid rate")
 }
 
 fn parse_limit(values: &[&str]) -> AdvertisedLimit {
@@ -50,9 +50,9 @@
         AdvertisedLimit::Unreadable(_)
     ));
     let AdvertisedLimit::Unreadable(logged_text) = parse_limit(&[&"x".repeat(100_000)]) else {
-        panic!("it can't be read");
+        panic!("a long text was accepted as a limit");
     };
-    assert!(logged_text.len() <= 40, "the log stays bounded");
+    assert!(logged_text.len() <= 40, "the logged text must be bounded");
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert_eq!(
         state.hear(at(4), at(3), rate_limit(1.45)),
         None,
-        "nearly the same"
+        "small changes are not reported"
     );
     assert_eq!(
         state.hear(at(5), at(4), rate_limit(0.7)),
--- a/shalehinge/tests/clock.rs
+++ b/shalehinge/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a daemon.
+//! Tests of the daemon's clock against `CLOCK_BOOTTIME`, which also counts time in suspend.
 
 use std::time::{Duration, Instant};
 
@@ -19,5 +19,5 @@
     let max_elapsed = Duration::from_nanos((nanos(after) - nanos(before)).unsigned_abs());
     assert!(elapsed >= Duration::from_millis(5), "{elapsed:?}");
     assert!(elapsed <= max_elapsed, "{elapsed:?} of {max_elapsed:?}");
-    assert!(clock.elapsed() >= elapsed, "never less than before");
+    assert!(clock.elapsed() >= elapsed, "time never goes back");
 }
--- a/shalehinge/tests/operator.rs
+++ b/shalehinge/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Plans and confirms: given these answers of the platform, expect that step.
+//! Tests of operators' plans and confirms: which step follows which reply of the platform.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     })
 }
 
-/// A fleet of so many hosts, with a customer, at a version.
+/// A fleet with `hosts` hosts and one customer, whose configuration has `version`.
 fn fleet_with_hosts(hosts: u16, version: u64) -> FleetState {
     let mut state = FleetState::default();
     let mut fleet = FleetConfig::default();
@@ -92,7 +92,7 @@
     operators.begin(at(0), CALL_ID, OperatorCall::Plan(intent()));
     match operators.on_platform(at(0), CALL_ID, &list_reply(), state) {
         Some(OperatorStep::Answer(OperatorAnswer::Planned(plan))) => *plan,
-        other => panic!("no plan: {other:?}"),
+        other => panic!("expected a plan, got {other:?}"),
     }
 }
 
@@ -113,7 +113,7 @@
     )
 }
 
-/// A confirm whose write was sent and whose answer was lost.
+/// A confirm whose write was sent but not answered, so that a read-back has begun.
 fn calls_with_unclear_write(state: &FleetState) -> OperatorCalls {
     let mut operators = OperatorCalls::default();
     operators.begin(at(0), CALL_ID, confirm(plan(state)));
@@ -134,7 +134,8 @@
 fn an_unclear_write_that_may_still_take_effect_is_sent_again() {
     let mut state = fleet_with_hosts(4, 3);
     let mut operators = calls_with_unclear_write(&state);
-    // The plan would be another by now, but the write on its way is not undone.
+    // With the new hosts the plan would differ, but the write may still take effect: answering
+    // 'out of date' could then be wrong.
     add_hosts(&mut state, 9, 2);
     let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
     assert!(is_expected_write(step.as_ref()), "{step:?}");
@@ -144,7 +145,11 @@
 fn an_unclear_write_that_took_effect_is_answered_as_confirmed() {
     let mut state = fleet_with_hosts(4, 3);
     let mut operators = calls_with_unclear_write(&state);
-    let mut fleet = state.fleet().expect("there").value.clone();
+    let mut fleet = state
+        .fleet()
+        .expect("a configuration is known")
+        .value
+        .clone();
     fleet.operations.record(OPERATION);
     apply_update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
     let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
@@ -157,7 +162,11 @@
 fn an_unclear_write_that_lost_to_another_write_is_answered_as_out_of_date() {
     let mut state = fleet_with_hosts(4, 3);
     let mut operators = calls_with_unclear_write(&state);
-    let fleet = state.fleet().expect("there").value.clone();
+    let fleet = state
+        .fleet()
+        .expect("a configuration is known")
+        .value
+        .clone();
     apply_update(&mut state, ObjectKey::Fleet, 4, Object::Fleet(fleet));
     let step = operators.on_platform(at(2), CALL_ID, &list_reply(), &state);
     let is_out_of_date = matches!(
--- a/shalehinge/tests/signal.rs
+++ b/shalehinge/tests/signal.rs
@@ -1,4 +1,4 @@
-//! What upstreams state about themselves, as it is read from their answers.
+//! Tests of the signals that upstreams send in response heads, and of their effect on routing.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 use shalehinge::core::signal::{LeavingMark, RequestedCooldown, UpstreamSignal};
 use shalehinge::core::types::{HostId, ServiceName, Timestamp};
 
-/// Sun, 06 Nov 1994 08:49:37 GMT
+/// Time of the response by the upstream's clock: Sun, 06 Nov 1994 08:49:37 GMT.
 fn answered_at() -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(784_111_777)
 }
@@ -81,7 +81,7 @@
     assert_eq!(cooldown.until(), at(6_000));
     assert!(!cooldown.take_end(at(5_999)));
     assert!(cooldown.take_end(at(6_000)));
-    assert!(!cooldown.take_end(at(6_050)), "once");
+    assert!(!cooldown.take_end(at(6_050)), "the end is reported once");
 }
 
 #[test]
@@ -90,14 +90,20 @@
     cooldown.on_requested(at(0), &cooldown_of(1.0));
     cooldown.on_sent(at(1_000));
     assert!(!cooldown.has_room());
-    // It is turned away again.
+    // The upstream rejects the request and requests another cooldown.
     cooldown.on_requested(at(1_010), &cooldown_of(1.0));
     cooldown.on_ended(at(1_000));
     assert_eq!(cooldown.blocked_until(at(1_011)), Some(at(2_010)));
-    assert!(cooldown.has_room(), "once that has passed");
+    assert!(
+        cooldown.has_room(),
+        "one request may follow the second cooldown"
+    );
     cooldown.on_sent(at(2_010));
     cooldown.on_output(at(2_020), at(900));
-    assert!(!cooldown.has_room(), "a request from before shows nothing");
+    assert!(
+        !cooldown.has_room(),
+        "output of a request sent before the cooldown does not end it"
+    );
     cooldown.on_output(at(2_030), at(2_010));
     cooldown.on_sent(at(2_040));
     assert!(cooldown.has_room());
@@ -154,7 +160,10 @@
     let host = UpstreamId::Host(ServiceName::new("s"), HostId::new("h"));
     let mut state = LeavingState::default();
     assert!(state.on_marked(at(0), &LeavingMark::Leaving));
-    assert!(!state.on_marked(at(1), &LeavingMark::Leaving), "no news");
+    assert!(
+        !state.on_marked(at(1), &LeavingMark::Leaving),
+        "already known"
+    );
     assert!(!state.on_marked(at(2), &LeavingMark::Absent));
     assert!(state.is_leaving(at(86_400_000), &host));
 }
@@ -174,7 +183,7 @@
 fn an_error_response_that_states_nothing_is_not_relevant() {
     assert!(
         UpstreamSignal::status_only(200).is_relevant(),
-        "it ends a limit"
+        "a success without a limit ends a limit"
     );
     assert!(!UpstreamSignal::status_only(503).is_relevant());
     let leaving = UpstreamSignal {
--- a/shalehinge/tests/superseded.rs
+++ b/shalehinge/tests/superseded.rs
@@ -1,4 +1,4 @@
-//! A daemon that heard of a newer configuration, and one that knows only an old confirmation.
+//! Tests of daemons whose configuration is out of date, or was confirmed too long ago.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -118,7 +118,7 @@
     }
 }
 
-/// A peer's answer: this version is in force there, and was confirmed so long ago.
+/// A peer's reply: `version` is in force there, and was confirmed `confirmed_ms_ago` ago.
 fn pull_reply(version: u64, confirmed_ms_ago: u64) -> PullReply {
     PullReply {
         gossip: gossip(2),
@@ -133,7 +133,7 @@
     }
 }
 
-/// An answer with the configuration itself.
+/// A reply that contains the configuration itself.
 fn whole_reply(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
     Event::PullAnswered {
         topic: PullTopic::WholeObjects,
@@ -145,7 +145,7 @@
     }
 }
 
-/// An answer that tells versions only.
+/// A reply that contains versions only.
 fn versions_reply(asked_at: Timestamp, version: u64, confirmed_ms_ago: u64) -> Event {
     Event::PullAnswered {
         topic: PullTopic::All,
@@ -186,31 +186,38 @@
     }
 }
 
-/// Questions for whole objects among the actions.
+/// Number of pulls of whole objects among the actions.
 fn count_whole_fetches(actions: &[Action]) -> usize {
     let is_whole_fetch = |action: &&Action| matches!(action, Action::Pull { pull, .. } if pull.topic == PullTopic::WholeObjects);
     actions.iter().filter(is_whole_fetch).count()
 }
 
-/// An operator took keys away, and a daemon behind a full link went on with them for six
-/// seconds, though its peers had told it long before that there was something newer.
+/// Guards against revoked keys that stay usable: a daemon behind a congested link accepted them
+/// for 6 s more, although its peers had reported a newer configuration long before.
 #[test]
 fn an_outdated_configuration_stops_being_used_within_the_limit() {
     let mut daemon = daemon();
     handle(&mut daemon, at(900), whole_reply(at(800), 5, 100));
     handle(&mut daemon, at(1_000), notice_event(2, 7));
-    assert!(is_routed(&daemon, at(1_500)), "the newer one is on its way");
+    assert!(
+        is_routed(&daemon, at(1_500)),
+        "the newer version may still be in transfer"
+    );
     handle(&mut daemon, at(2_000), notice_event(3, 9));
     assert!(!is_routed(&daemon, at(3_000)));
     handle(&mut daemon, at(3_100), whole_reply(at(1_000), 7, 50));
-    assert!(is_routed(&daemon, at(3_200)), "9 is known of since 2.0 s");
+    assert!(
+        is_routed(&daemon, at(3_200)),
+        "version 9 has been known since 2.0 s"
+    );
     handle(&mut daemon, at(3_500), notice_event(4, 9));
     assert!(!is_routed(&daemon, at(4_000)));
     handle(&mut daemon, at(4_100), whole_reply(at(4_050), 9, 50));
     assert!(is_routed(&daemon, at(60_000)));
 }
 
-/// Bytes between failure domains are paid for: of 0.3 GB a day two thirds crossed them.
+/// Guards against needless traffic between failure domains, which is charged: two thirds of
+/// 0.3 GB a day crossed them.
 #[test]
 fn whole_objects_are_fetched_from_the_own_failure_domain_first() {
     let (near, far) = (address(2), address(3));
@@ -219,17 +226,22 @@
     assert_eq!(
         fetch.begin(at(1_100)),
         None,
-        "the near ones have their time"
+        "near peers take precedence at first"
     );
     fetch.hear(at(1_200), near, Distance::Near);
     assert_eq!(fetch.begin(at(1_200)), Some(near));
     fetch.end();
     fetch.hear(at(2_000), far, Distance::Far);
     fetch.hear(at(2_300), far, Distance::Far);
-    assert_eq!(fetch.begin(at(2_400)), Some(far), "nobody near told of it");
+    assert_eq!(
+        fetch.begin(at(2_400)),
+        Some(far),
+        "no near peer has the object"
+    );
 }
 
-/// A failure domain is cut off just after a rumour reached it: it serves what it can.
+/// Guards against an outage of a failure domain that is cut off just after it received a notice
+/// of a newer configuration: it must continue to serve with the configuration it has.
 #[test]
 fn a_daemon_cut_off_from_its_peers_keeps_its_configuration() {
     let mut daemon = daemon();
@@ -237,7 +249,10 @@
     handle(&mut daemon, at(1_000), notice_event(2, 7));
     handle(&mut daemon, at(2_000), notice_event(2, 7));
     assert!(!is_routed(&daemon, at(3_000)));
-    assert!(is_routed(&daemon, at(4_000)), "nobody tells of it any more");
+    assert!(
+        is_routed(&daemon, at(4_000)),
+        "no peer reports a newer version any more"
+    );
 }
 
 #[test]
@@ -257,11 +272,11 @@
     assert_eq!(
         count_whole_fetches(&actions),
         1,
-        "the next one that told of it"
+        "the next peer that reported it"
     );
 }
 
-/// How a request with a key ends that comes at this time.
+/// Sends a request with a key at `now` and returns why it was not run.
 fn not_run_reason_with_key(daemon: &mut Daemon, now: Timestamp) -> NotRunReason {
     handle(daemon, now, Event::Tick);
     let meta = RequestMeta {
@@ -289,12 +304,12 @@
         } => Some(*reason),
         _ => None,
     });
-    reason.expect("not run, as the service has no instance")
+    reason.expect("the request must not run, as the service has no instance")
 }
 
-/// A key may be used for four seconds after the platform confirmed the configuration. A daemon
-/// that starts in an outage hears one that was confirmed 3.8 s before: its own start confirms
-/// nothing.
+/// A key may be used for 4 s after the platform confirmed the configuration. A daemon that starts
+/// during an outage receives a configuration confirmed 3.8 s before; its own start must not count
+/// as a confirmation.
 #[test]
 fn the_age_of_a_confirmation_includes_time_before_the_start() {
     let mut daemon = daemon();
@@ -303,13 +318,13 @@
     assert_eq!(
         reason,
         NotRunReason::NoUpstream,
-        "0.4 s are left from the start"
+        "the key is valid until 0.4 s after the start"
     );
     let reason = not_run_reason_with_key(&mut daemon, at(450));
     assert_eq!(reason, NotRunReason::OutOfDate);
 }
 
-/// What a peer says of the age of its configuration says nothing of an older one.
+/// The age that a peer reports for its configuration must not confirm an older configuration.
 #[test]
 fn a_peer_with_a_newer_configuration_does_not_confirm_an_older_one() {
     let mut daemon = daemon();
