--- a/shalehinge/src/core/signal.rs
+++ b/shalehinge/src/core/signal.rs
@@ -39,8 +39,8 @@
     }
 
     /// Whether the signal can influence a decision. The absence of a limit is meaningful only in a
-    /// successful response: an error may come from a component of the upstream that doesn't know the
-    /// limit.
+    /// successful response: an error may come from a component of the upstream that doesn't know
+    /// the limit.
     pub fn is_relevant(&self) -> bool {
         self.is_success() || *self != Self::status_only(self.status)
     }
--- a/shalehinge/src/core/superseded.rs
+++ b/shalehinge/src/core/superseded.rs
@@ -2,7 +2,7 @@
 //!
 //! Peers report the version in force at once, while the transfer of the configuration itself may
 //! take long over a congested link. Permissions that an operator revoked must not stay usable in
-//! the meantime. A daemon that hears no such reports any more is cut off from its peers, and
+//! the meantime. A daemon that no longer receives such reports is cut off from its peers, and
 //! continues with the configuration it has.
 
 use std::collections::BTreeMap;
--- a/shalehinge/src/core/types.rs
+++ b/shalehinge/src/core/types.rs
@@ -49,7 +49,7 @@
     FabricDomain
 );
 name_type!(
-    /// One of the customers that share the fleet.
+    /// A customer: one of those who share the fleet.
     Customer
 );
 name_type!(
