--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -21,14 +21,14 @@
 PROTECTIONS = {
     "a-later-era-is-newer": (
         CORE + "version.rs",
-        "pub struct Version {\n    /// The era in which it was reported.\n    pub era: StoreEra,\n    /// The store's number; 0 for an object that does not exist.\n    pub number: u64,",
-        "pub struct Version {\n    /// The store's number; 0 for an object that does not exist.\n    pub number: u64,\n    /// The era in which it was reported.\n    pub era: StoreEra,",
+        "pub struct Version {\n    /// The store era in which the version was reported.\n    pub era: StoreEra,\n    /// The store's revision number; 0 for an object that does not exist.\n    pub number: u64,",
+        "pub struct Version {\n    /// The store's revision number; 0 for an object that does not exist.\n    pub number: u64,\n    /// The store era in which the version was reported.\n    pub era: StoreEra,",
         "restored_platform", "nine_daemons",
     ),
     "the-writers-number-goes-first": (
         CORE + "version.rs",
-        "    /// The number that its writer gave it; 0 where writers give none.\n    pub generation: u64,\n    /// The store's version of it.\n    pub stored: Version,",
-        "    /// The store's version of it.\n    pub stored: Version,\n    /// The number that its writer gave it; 0 where writers give none.\n    pub generation: u64,",
+        "    /// Number assigned by the writer; 0 where writers assign none.\n    pub generation: u64,\n    /// Version assigned by the store.\n    pub stored: Version,",
+        "    /// Version assigned by the store.\n    pub stored: Version,\n    /// Number assigned by the writer; 0 where writers assign none.\n    pub generation: u64,",
         "restored_platform", "stays_in_force",
     ),
     "a-watch-across-eras-is-no-answer": (
@@ -107,13 +107,13 @@
         CORE + "router/cooldown.rs",
         "self.until = self.until.max(now + time);",
         "self.until = now + time;",
-        "signal", "ends_no_cooldown_early",
+        "signal", "does_not_shorten_a_cooldown",
     ),
     "one-request-at-a-time-after-a-cooldown": (
         CORE + "router/cooldown.rs",
         "!(self.is_recovering && self.is_tried)",
         "!(self.is_recovering && self.is_tried && self.is_unreadable)",
-        "signal", "one_request_at_a_time",
+        "signal", "sent_one_at_a_time",
     ),
     "a-request-that-is-turned-away-again-leaves-room": (
         CORE + "router/cooldown.rs",
@@ -137,13 +137,13 @@
         CORE + "signal.rs",
         "    let text = Some(text).filter(|text| text.chars().all(is_decimal))?;\n",
         "    let _ = is_decimal;\n",
-        "signal", "what_is_no_time",
+        "signal", "a_value_that_is_no_time",
     ),
     "other-statuses-ask-for-no-cooldown": (
         CORE + "signal.rs",
         "if ![TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE].contains(&status) {",
         "if ![TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE, status].contains(&status) {",
-        "signal", "other_statuses",
+        "signal", "only_statuses_429_and_503",
     ),
     "callers-get-the-true-wait": (
         CORE + "router/refusal.rs",
@@ -167,7 +167,7 @@
         CORE + "router/leaving.rs",
         "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR)",
         "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR * 60)",
-        "signal", "asked_again_after_a_minute",
+        "signal", "retried_after_a_minute",
     ),
     "a-limited-upstream-needs-a-permit": (
         CORE + "router/named.rs",
@@ -213,15 +213,15 @@
     ),
     "an-answer-from-before-a-limit-ends-nothing": (
         CORE + "router/named.rs",
-        "NamedLimit::None => self.set(sent_at, None),",
-        "NamedLimit::None => self.set(now.max(sent_at), None),",
-        "named_limit", "from_before_a_limit",
+        "AdvertisedLimit::None => self.set(sent_at, None),",
+        "AdvertisedLimit::None => self.set(now.max(sent_at), None),",
+        "advertised_limit", "sent_before_a_limit",
     ),
     "what-cannot-be-read-is-no-limit": (
-        CORE + "named_limit.rs",
+        CORE + "advertised_limit.rs",
         "            .filter(|text| text.chars().all(is_decimal))\n",
         "            .filter(|text| is_decimal('0') || text.is_empty())\n",
-        "named_limit", "is_no_limit",
+        "advertised_limit", "is_no_rate",
     ),
     "a-suspect-is-tried": (
         CORE + "router/refusal.rs",
@@ -378,13 +378,13 @@
         CORE + "whole_fetch.rs",
         "now.since(*since) >= NEAR_FIRST",
         "now >= *since",
-        "superseded", "own_failure_domain",
+        "superseded", "from_the_own_failure_domain",
     ),
     "one-peer-for-whole-objects": (
         CORE + "whole_fetch.rs",
         "if self.is_open {",
         "if false && self.is_open {",
-        "superseded", "one_peer_at_a_time",
+        "superseded", "from_one_peer_at_a_time",
     ),
     "whole-objects-only-when-asked": (
         CORE + "daemon/peers.rs",
@@ -404,19 +404,19 @@
         CORE + "daemon/mod.rs",
         "|| self.is_out_of_date(now) {",
         "|| false && self.is_out_of_date(now) {",
-        "superseded", "known_to_be_out_of_date",
+        "superseded", "outdated_configuration_stops",
     ),
     "a-start-confirms-nothing": (
         CORE + "daemon/configuration.rs",
         "Some(Timestamp::ZERO + valid_for.saturating_sub(age_at_start))",
         "Some(Timestamp::ZERO + valid_for.max(age_at_start))",
-        "superseded", "before_the_start",
+        "superseded", "includes_time_before_the_start",
     ),
     "age-counts-where-as-new": (
         CORE + "daemon/peers.rs",
         "reply.confirmed_ms_ago.filter(|_| is_up_to_date)",
         "reply.confirmed_ms_ago.filter(|_| is_up_to_date || true)",
-        "superseded", "newer_configuration_confirms",
+        "superseded", "newer_configuration_does_not_confirm",
     ),
     "old-answer-of-a-lease": (
         CORE + "lease.rs",
@@ -615,9 +615,9 @@
     ),
     "unclear-confirm": (
         CORE + "operator.rs",
-        "if known.version > confirm.base {",
-        "if known.version >= confirm.base {",
-        "operator", "may_still_land",
+        "if inputs.version > confirm.base {",
+        "if inputs.version >= confirm.base {",
+        "operator", "may_still_take_effect",
     ),
     "opens-whole": (
         CORE + "controller/ordered.rs", "if all_ready {", "if true {",
--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -2,7 +2,7 @@
 
 use super::{CallPurpose, Daemon, log, outcome_of_refused_claim};
 use crate::core::claims::{ClaimResult, ClaimStep};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::objects::{ClaimPartition, Object, ObjectKey, Versioned};
 use crate::core::platform::{Freshness, NoAnswer, PlatformCall, PlatformReply, PlatformResult};
 use crate::core::router::request::Outcome;
@@ -113,7 +113,7 @@
             self.claimed_requests.remove(&request);
             let outcome = outcome_of_refused_claim(result);
             let text = format!("request {} not run, key not granted: {result:?}", request.0);
-            log(out, Part::Claim, text);
+            log(out, Component::Claim, text);
             out.push(Action::Answer { request, outcome });
         }
     }
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{CallPurpose, Daemon, NOTICE_FANOUT, WATCH_DUTY, WATCH_RETRY_DELAY, log};
-use crate::core::event::{Action, LimitsNotice, Notice, Part, QuarantineReport};
+use crate::core::event::{Action, Component, LimitsNotice, Notice, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{Applied, ObjectUpdate};
 use crate::core::objects::{Object, ObjectKey};
@@ -186,7 +186,7 @@
             object: Box::new(Object::Fleet(fleet.value.clone())),
         };
         let text = format!("platform lost Fleet version {version}; rewriting it");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
         self.call_platform(CallPurpose::RewriteFleet, request, out);
     }
 
@@ -228,7 +228,7 @@
     /// configuration keeps serving.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
         let within = self.settings.learning.served_when_superseded();
-        within.is_some_and(|within| self.superseded.is_known_for(now, within))
+        within.is_some_and(|within| self.superseded.is_outdated_for(now, within))
     }
 
     /// Applies objects that are newer than the known ones, and notifies peers of them.
@@ -257,11 +257,11 @@
                 // Daemons that relay the host list pull it at intervals and need no notice.
                 needs_notice |= key != ObjectKey::Hosts || !self.settings.learning.relays;
                 let text = format!("{key:?} version {version} is in force");
-                log(out, Part::Config, text);
+                log(out, Component::Config, text);
             }
         }
         if is_changed {
-            self.superseded.take(self.state.fleet_version());
+            self.superseded.on_accepted(self.state.fleet_version());
             self.rebuild_routes(now, out);
             self.rebuild_topology();
         }
@@ -278,7 +278,7 @@
             return;
         }
         let text = format!("ignored Fleet version {version}: {in_force} is in force");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
     }
 
     /// Rebuilds the route table for a new configuration. Queued requests whose key is no longer
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -39,19 +39,19 @@
 use crate::core::claims::{ClaimBook, ClaimResult};
 use crate::core::controller::Controller;
 use crate::core::demand::Demand;
-use crate::core::event::{Action, Event, LimitsNotice, LogLine, Part, StatusPurpose};
+use crate::core::event::{Action, Component, Event, LimitsNotice, LogLine, StatusPurpose};
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{FleetState, HostDetail};
 use crate::core::lease::ControlLease;
 use crate::core::membership::{Heartbeat, Membership};
 use crate::core::objects::KeyHash;
-use crate::core::operator::{OperatorCallId, Operators};
+use crate::core::operator::{OperatorCallId, OperatorCalls};
 use crate::core::permits::PermitOwner;
 use crate::core::platform::{CallId, Scope};
 use crate::core::router::Router;
 use crate::core::router::request::{NotRunReason, Outcome, RequestMeta, UnknownReason};
-use crate::core::routes::{RouteQuery, RouteRefusal, RouteTable, Routed};
-use crate::core::superseded::Superseded;
+use crate::core::routes::{RouteMatch, RouteQuery, RouteRefusal, RouteTable};
+use crate::core::superseded::NewerConfigurations;
 use crate::core::trials::{TrialGrant, TrialOwner};
 use crate::core::types::{
     Address, Customer, DaemonId, FailureDomain, FleetVersion, Incarnation, OperationId, RequestId,
@@ -152,7 +152,7 @@
     own_trial_grants: Vec<TrialGrant>,
     /// Limit notices that this daemon addressed to itself and has not processed yet.
     own_limit_notices: Vec<LimitsNotice>,
-    operators: Operators,
+    operators: OperatorCalls,
     router: Router,
     demand: Demand,
     next_demand_update_at: Timestamp,
@@ -173,7 +173,7 @@
     /// When the platform last answered the daemons that the peers' host list comes from.
     peer_hosts_answered_at: Option<Timestamp>,
     whole_fetch: WholeFetch,
-    superseded: Superseded,
+    superseded: NewerConfigurations,
     /// Age, at the start of this daemon, of the platform's last confirmation of the
     /// configuration, as reported by peers. Used until the configuration is confirmed again.
     confirmed_age_at_start: Option<Duration>,
@@ -221,7 +221,7 @@
             trials: TrialOwner::default(),
             own_trial_grants: Vec::new(),
             own_limit_notices: Vec::new(),
-            operators: Operators::default(),
+            operators: OperatorCalls::default(),
             router: Router::new(settings.router, identity.incarnation),
             demand: Demand::default(),
             next_demand_update_at: Timestamp::ZERO,
@@ -241,7 +241,7 @@
             next_relay_pull_at: Timestamp::ZERO,
             peer_hosts_answered_at: None,
             whole_fetch: WholeFetch::default(),
-            superseded: Superseded::default(),
+            superseded: NewerConfigurations::default(),
             confirmed_age_at_start: None,
             next_suspect_report_at: Timestamp::ZERO,
             is_lease_holder: false,
@@ -307,7 +307,7 @@
     /// or if the route table refuses the request and the configuration was not confirmed
     /// recently: a permanent refusal requires a fresh configuration. Otherwise the refusal of the
     /// route table.
-    pub fn route(&self, now: Timestamp, query: RouteQuery<'_>) -> Result<Routed, RouteRefusal> {
+    pub fn route(&self, now: Timestamp, query: RouteQuery<'_>) -> Result<RouteMatch, RouteRefusal> {
         if self.state.fleet().is_none() || self.is_out_of_date(now) {
             return Err(RouteRefusal::NotReady);
         }
@@ -332,13 +332,13 @@
         match event {
             Event::Tick => self.tick(now, out),
             Event::Platform { call, result } => self.on_platform_reply(now, call, result, out),
-            Event::PullAsked { pull_id, pull } => self.on_pull_request(now, pull_id, pull, out),
+            Event::PullReceived { pull_id, pull } => self.on_pull_request(now, pull_id, pull, out),
             Event::PullAnswered {
                 topic,
                 asked_at,
                 reply,
             } => self.on_pull_reply(now, topic, asked_at, reply, out),
-            Event::Noticed(notice) => self.on_notice(now, notice, out),
+            Event::NoticeReceived(notice) => self.on_notice(now, notice, out),
             Event::Status {
                 purpose,
                 asked_at,
@@ -367,7 +367,7 @@
                 None => self.controller.on_order_unanswered(now, asked_at, &host),
             },
             Event::Request { request, meta } => self.on_request(now, request, meta, out),
-            Event::Output { request, attempt } => self.router.on_output(now, request, attempt),
+            Event::FirstOutput { request, attempt } => self.router.on_output(now, request, attempt),
             Event::Progress { request, attempt } => {
                 self.router.on_progress(now, request, attempt);
             }
@@ -376,7 +376,7 @@
                 attempt,
                 signal,
             } => self.on_signal(now, request, attempt, signal, out),
-            Event::Ended {
+            Event::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -427,8 +427,8 @@
     }
 }
 
-fn log(out: &mut Vec<Action>, part: Part, text: String) {
-    out.push(Action::Log(LogLine { part, text }));
+fn log(out: &mut Vec<Action>, component: Component, text: String) {
+    out.push(Action::Log(LogLine { component, text }));
 }
 
 fn not_run(reason: NotRunReason, retry_after: Duration) -> Outcome {
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -1,7 +1,7 @@
 //! Planned shutdown.
 
 use super::{Daemon, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::types::Timestamp;
 
 impl Daemon {
@@ -13,7 +13,7 @@
         self.is_stopping = true;
         log(
             out,
-            Part::Daemon,
+            Component::Daemon,
             "stopping once open requests have ended".into(),
         );
         self.finish_stop(out);
@@ -29,7 +29,7 @@
         self.membership.leave();
         log(
             out,
-            Part::Daemon,
+            Component::Daemon,
             "leaving the fleet; no longer ready".into(),
         );
         let operation = self.new_operation_id();
--- a/shalehinge/src/core/hash.rs
+++ b/shalehinge/src/core/hash.rs
@@ -1,28 +1,28 @@
-//! Rendezvous hashing: who of the live members is responsible for what.
+//! Rendezvous hashing, which assigns responsibilities to live members.
 //!
-//! Nothing that must be safe depends on it; two daemons that see different
-//! members only do some work twice.
+//! No safety property depends on it: if two daemons see different members, some work is merely
+//! done twice.
 
 use std::hash::{Hash, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-/// Weight of `member` for `subject`; the highest weight is responsible.
-pub fn weight(subject: &impl Hash, member: &impl Hash) -> u64 {
+/// Weight of `member` for `subject`; the member with the highest weight is responsible.
+pub fn rendezvous_weight(subject: &impl Hash, member: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     subject.hash(&mut hasher);
     member.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The `count` members with the highest weight for `subject`, highest first.
-pub fn top<M: Hash + Ord>(
+/// The `count` members with the highest weights for `subject`, in descending order.
+pub fn highest_weighted<M: Hash + Ord>(
     subject: &impl Hash,
     members: impl Iterator<Item = M>,
     count: usize,
 ) -> Vec<M> {
     let mut weighted: Vec<(u64, M)> = members
-        .map(|member| (weight(subject, &member), member))
+        .map(|member| (rendezvous_weight(subject, &member), member))
         .collect();
     weighted.sort_by(|a, b| b.cmp(a));
     weighted.truncate(count);
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -261,7 +261,7 @@
         host,
         path,
         key_sha256: key,
-        spread: 0,
+        split_key: 0,
     }
 }
 
@@ -317,7 +317,7 @@
     let table = RouteTable::new(FleetVersion::NONE, &fleet(vec![split]));
     let to_y = (0..1_000).filter(|spread| {
         let query = RouteQuery {
-            spread: *spread,
+            split_key: *spread,
             ..query("h", "/a/", Some("good"))
         };
         table.find(query).expect("routed").service.as_str() == "y"
