--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -426,8 +426,8 @@
     ),
     "exact-after-a-conflict": (
         CORE + "lease.rs",
-        "        self.observation = None;\n        self.first_read = Freshness::Exact;\n    }\n\n    /// A call failed",
-        "        self.observation = None;\n        self.first_read = Freshness::MayBeStale;\n    }\n\n    /// A call failed",
+        "        self.observation = None;\n        self.first_read = Freshness::Exact;\n    }\n\n    /// Handles a failed call",
+        "        self.observation = None;\n        self.first_read = Freshness::MayBeStale;\n    }\n\n    /// Handles a failed call",
         "lease", "renewed_unseen",
     ),
     "changes-that-are-forgotten": (
--- a/shalehinge/src/core/claims.rs
+++ b/shalehinge/src/core/claims.rs
@@ -1,13 +1,14 @@
-//! Claims of request keys: a request with a key runs at most once, whichever
-//! daemons its caller sends it to.
+//! Claims of idempotency keys: a request with a key runs at most once, whichever daemons its
+//! client sends it to.
 //!
-//! A key is claimed in a partition object of the platform before the request
-//! may be sent. The write is conditional, so two daemons never both add a key.
-//! Claims that wait for the same partition share one write. A claim goes away
-//! only when its request certainly did not run, or when it is old.
+//! A key is claimed in a partition object of the platform before the request is sent. The write
+//! is conditional, so two daemons never both add the same key. Claims that wait for the same
+//! partition share one write. A claim is removed only when its request certainly did not run, or
+//! when it is older than the retention period.
 //!
-//! A store that is restored from a copy may have lost the last claims. Each daemon writes its own
-//! ones again, and grants no key until the others had time to do the same.
+//! A store that is restored from a backup may have lost the most recent claims. Each daemon
+//! writes its own recent claims again, and grants no key until the other daemons have had time to
+//! do the same.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,91 +17,93 @@
 use super::types::{OperationId, RequestId, Timestamp, Version};
 use crate::settings::claims::ClaimSettings;
 
-/// How long a claim is remembered to be written again; the copy of a store is some seconds old.
+/// How long a claim is kept in memory so that it can be written again after a restore. The backup
+/// that a store is restored from is a few seconds old.
 const REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// Claims that are remembered at most: a thousand a second for all that time would be more.
+/// Upper bound on the claims kept in memory. A rate of a thousand claims a second over the whole
+/// time window would exceed it.
 const MOST_REMEMBERED: usize = 20_000;
-/// How long no key is granted after the store was restored from a copy: as long as daemons in
-/// contact with it need to learn of that and to write their claims again.
+/// How long no key is granted after the store was restored from a backup: the time that daemons
+/// in contact with the store need to detect the restore and to write their claims again.
 const REWRITE_WAIT: Duration = Duration::from_secs(3);
 
-/// What the claims want from the platform.
+/// A platform call that the claims need.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimStep {
-    /// Read a partition.
+    /// Read the partition with this number.
     Read(u16),
     /// Write a partition conditionally.
     Write {
-        /// Which one.
+        /// Number of the partition.
         partition: u16,
-        /// Version that it must have.
+        /// Version that the stored partition must have for the write to take effect.
         expect: Version,
-        /// The new value.
+        /// The partition's new content.
         value: ClaimPartition,
     },
 }
 
-/// What became of a wish to claim.
+/// Outcome of an attempt to claim a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// The key is this request's.
+    /// The key now belongs to this request.
     Granted,
-    /// The key was claimed before and its request may still run.
+    /// The key was claimed earlier and its request may still be running.
     InProgressOrUnknown,
-    /// The key was claimed before and its request ran to its end.
+    /// The key was claimed earlier and its request ran to completion.
     Completed,
-    /// The platform did not answer in time, or the partition is full.
+    /// The platform did not answer in time, or the partition already holds the maximum number of
+    /// keys.
     Unavailable,
 }
 
-/// A change that waits for a write.
+/// A change to a partition that is to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Change {
+    /// Adds a claim of `key` for a request of this daemon.
     Claim {
         request: RequestId,
         key: KeyHash,
         claimant: OperationId,
         since: Timestamp,
     },
-    Complete {
-        key: KeyHash,
-        claimant: OperationId,
-    },
-    Withdraw {
-        key: KeyHash,
-        claimant: OperationId,
-    },
-    /// A claim that the store may have lost.
-    Rewrite {
-        key: KeyHash,
-        claim: Claim,
-    },
+    /// Marks a claim as completed.
+    Complete { key: KeyHash, claimant: OperationId },
+    /// Removes the claim of a request that did not run.
+    Withdraw { key: KeyHash, claimant: OperationId },
+    /// Adds a claim again that a restored store may have lost.
+    Rewrite { key: KeyHash, claim: Claim },
 }
 
 #[derive(Clone, Debug, Default)]
+/// The state of one partition at this daemon.
 struct Partition {
+    /// The partition as last read or written; `None` if it has to be read first.
     known: Option<Versioned<ClaimPartition>>,
+    /// Changes that are not part of a write yet.
     waiting: Vec<Change>,
-    /// Changes in the write on its way, or in one whose answer was lost.
+    /// Changes in the write in flight, or in one whose outcome is unknown.
     written: Vec<Change>,
+    /// The value of the write in flight.
     pending: Option<ClaimPartition>,
     in_flight: bool,
+    /// Earliest time of the next call.
     next_at: Timestamp,
 }
 
-/// The claims of one daemon.
+/// The key claims of one daemon.
 #[derive(Clone, Debug)]
 pub struct ClaimBook {
     settings: ClaimSettings,
     partitions: BTreeMap<u16, Partition>,
-    /// Claims of this daemon, the oldest first.
+    /// Recent claims of this daemon with the time at which they were granted, oldest first.
     remembered: VecDeque<(Timestamp, KeyHash, Claim)>,
-    /// When keys may be granted again.
+    /// No key is granted before this time.
     grants_from: Timestamp,
 }
 
 impl ClaimBook {
-    /// Nothing claimed, nothing known.
+    /// Creates a tracker without claims.
     pub fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -115,7 +118,8 @@
         self.partitions.entry(number).or_default()
     }
 
-    /// Asks for a key; [`ClaimBook::poll`] later says what became of it.
+    /// Starts to claim a key for a request. [`ClaimBook::poll`], [`ClaimBook::on_read`] or
+    /// [`ClaimBook::on_written`] later returns the result.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -131,7 +135,8 @@
         });
     }
 
-    /// The store was restored from a copy: what it held of claims may be lost.
+    /// Handles a restore of the store from a backup: stops granting keys for a few seconds,
+    /// discards cached partitions and writes this daemon's recent claims again.
     pub fn on_new_era(&mut self, now: Timestamp) {
         self.grants_from = now + REWRITE_WAIT;
         for partition in self.partitions.values_mut() {
@@ -148,7 +153,8 @@
         self.remembered = remembered;
     }
 
-    /// A request may run by its claim.
+    /// Records a granted claim, so that it can be written again after a restore. `wall_seconds`
+    /// is the Unix time in seconds.
     pub fn remember(&mut self, now: Timestamp, wall_seconds: u64, key: KeyHash, id: OperationId) {
         let claim = Claim {
             claimant: id,
@@ -164,7 +170,7 @@
         }
     }
 
-    /// The request behind a claim ran to its end.
+    /// Marks the claim of a request that ran to completion.
     pub fn complete(&mut self, key: KeyHash, claimant: OperationId) {
         let mut remembered = self.remembered.iter_mut();
         if let Some((.., claim)) = remembered.find(|(.., claim)| claim.claimant == claimant) {
@@ -174,7 +180,7 @@
         self.partition_of(key).waiting.push(change);
     }
 
-    /// The request behind a claim certainly did not run.
+    /// Removes the claim of a request that certainly did not run.
     pub fn withdraw(&mut self, key: KeyHash, claimant: OperationId) {
         self.remembered
             .retain(|(.., claim)| claim.claimant != claimant);
@@ -182,7 +188,8 @@
         self.partition_of(key).waiting.push(change);
     }
 
-    /// Steps to take now, and claims that waited too long.
+    /// Returns the platform calls that are due, and results for claims that timed out or found
+    /// their partition full. `wall_seconds` is the Unix time in seconds.
     pub fn poll(
         &mut self,
         now: Timestamp,
@@ -201,13 +208,14 @@
                 steps.extend(step);
             }
         }
-        // A partition with nothing to do keeps no memory.
+        // Idle partitions are dropped to free their memory.
         self.partitions
             .retain(|_, partition| partition.in_flight || !partition.is_settled());
         (steps, results)
     }
 
-    /// A read of a partition was answered.
+    /// Handles the answer to a read; `None` means that the partition does not exist yet. Returns
+    /// the claims that it decides.
     pub fn on_read(
         &mut self,
         number: u16,
@@ -219,13 +227,13 @@
         partition.in_flight = false;
         partition.pending = None;
         partition.known = Some(value.unwrap_or_default());
-        // What the unclear write held is decided by what is there now.
+        // The content just read decides the changes of a write whose outcome was unknown.
         let written = std::mem::take(&mut partition.written);
         partition.waiting.splice(0..0, written);
         partition.decide()
     }
 
-    /// A write of a partition took effect.
+    /// Handles a write that took effect. Returns the claims that it granted.
     pub fn on_written(&mut self, number: u16, version: Version) -> Vec<(RequestId, ClaimResult)> {
         let Some(partition) = self.partitions.get_mut(&number) else {
             return Vec::new();
@@ -235,7 +243,7 @@
             partition.known = Some(Versioned { version, value });
         }
         let written = std::mem::take(&mut partition.written);
-        // A claim that was given up meanwhile is there now, and is taken back.
+        // A claim that timed out during the write is now stored and has to be withdrawn.
         let given_up = written
             .iter()
             .filter(|change| partition.has_to_withdraw(change));
@@ -244,7 +252,8 @@
         written.into_iter().filter_map(granted).collect()
     }
 
-    /// A write was refused, or nothing was heard: read before the next one.
+    /// Handles a refused write or a call without an answer: the partition is read before the next
+    /// write.
     pub fn on_unclear(&mut self, number: u16) {
         if let Some(partition) = self.partitions.get_mut(&number) {
             partition.in_flight = false;
@@ -279,7 +288,7 @@
         self.waiting.iter().any(is_other) || !self.written.is_empty()
     }
 
-    /// Takes out the claims that wait, unless keys may be granted.
+    /// Removes and returns the queued claims unless keys may be granted.
     fn hold_claims_back(&mut self, may_grant: bool) -> Vec<Change> {
         if may_grant {
             return Vec::new();
@@ -288,7 +297,7 @@
         self.waiting.extract_if(.., is_claim).collect()
     }
 
-    /// Whether the change withdraws a claim that is there.
+    /// Whether the change withdraws a claim that is stored.
     fn has_to_withdraw(&self, change: &Change) -> bool {
         let Change::Withdraw { key, claimant } = change else {
             return false;
@@ -298,7 +307,7 @@
         claim.is_some_and(|claim| claim.claimant == *claimant)
     }
 
-    /// Gives up claims that waited too long; if one was written, it is taken back.
+    /// Fails claims that timed out and turns each into a withdrawal, in case it was written.
     fn expire(
         &mut self,
         now: Timestamp,
@@ -350,7 +359,8 @@
                 Applied::Done => self.written.push(change),
                 Applied::Nothing => {}
                 Applied::Full(request) => results.push((request, ClaimResult::Unavailable)),
-                // Known from an older read, so looked up anew before it is said.
+                // The key was present in cached content, which may be out of date; the partition
+                // is read again before the caller is refused.
                 Applied::Taken => self.waiting.push(change),
             }
         }
@@ -366,7 +376,7 @@
         })
     }
 
-    /// Decides what can be decided from a fresh read.
+    /// Resolves the queued claims whose keys are present in the content just read.
     fn decide(&mut self) -> Vec<(RequestId, ClaimResult)> {
         let Some(known) = &self.known else {
             return Vec::new();
@@ -399,6 +409,7 @@
     }
 }
 
+/// Effect of a change on a partition's value.
 enum Applied {
     Done,
     Nothing,
--- a/shalehinge/src/core/demand.rs
+++ b/shalehinge/src/core/demand.rs
@@ -1,10 +1,10 @@
-//! The work that callers ask of each model, measured by every daemon.
+//! Measures the load that clients request of each model.
 //!
-//! A daemon counts what arrives at it, whether it is served or refused, and sends its
-//! counts and those of a few others with the messages that daemons exchange anyway. Whoever
-//! holds control adds up those that it heard lately: callers are spread over the daemons, so
-//! that the part it heard of is a fair sample. Counts decay, so that they follow the last
-//! seconds.
+//! Every daemon counts the requests that arrive at it, whether they are served or refused, and
+//! sends its counts and those of a few other daemons with the messages that daemons exchange
+//! anyway. The holder of a control lease adds up the counts that it received recently. Clients
+//! are spread over the daemons, so that the counts received are a representative sample. Counts
+//! decay exponentially, so that they follow the load of the last seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,31 +14,33 @@
 
 use super::types::{DaemonId, ModelName, Timestamp};
 
-/// Time in which a count decays to a third. A burst of two or three seconds moves
-/// no replicas, which take 2 to 16 s to form, and a lasting change does.
+/// Time constant of the exponential decay: a count falls to 1/e in this time. A burst of two or
+/// three seconds does not change the placement, as replicas take 2 to 16 s to form; a lasting
+/// change does.
 const MEMORY: Duration = Duration::from_secs(8);
-/// A peer's counts are forgotten after so long; they have decayed to a twentieth by then.
+/// Age at which a peer's counts are discarded; they have decayed to a twentieth by then.
 const FORGET_AFTER: Duration = Duration::from_secs(24);
 
-/// Other daemons whose counts go into one message. At two messages a second a daemon
-/// knows most of a fleet of a hundred after four seconds, for some two kilobytes each.
+/// Number of other daemons whose counts are included in one message. At two messages a second, a
+/// daemon knows most of a fleet of a hundred daemons after four seconds. Each message grows by
+/// about two kilobytes.
 const FORWARDED: usize = 16;
 
-/// Part of a count that is left after this time.
+/// Fraction of a count that remains after this time.
 fn decay(passed: Duration) -> f64 {
     (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
 }
 
-/// Work for one model: a count, or an amount a second.
+/// Load on one model: a decayed count or a rate per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ModelWork {
-    /// Requests.
+    /// Number of requests.
     pub requests: f64,
-    /// Tokens of their prompts.
+    /// Prompt tokens of these requests.
     pub prompt_tokens: f64,
-    /// Requests that were answered whole.
+    /// Requests that were answered completely.
     pub answers: f64,
-    /// Outputs of these answers: tokens, or events of several tokens each.
+    /// Outputs of the complete answers: tokens, or events of several tokens each.
     pub outputs: f64,
 }
 
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Outputs of all requests, if those not answered yet bring as many as the others.
+    /// Estimated outputs of all requests, assuming that requests without an answer yet produce as
+    /// many outputs on average as the answered ones.
     pub fn expected_outputs(&self) -> f64 {
         if self.answers <= 0.0 {
             return 0.0;
@@ -68,16 +71,16 @@
     }
 }
 
-/// Work by model.
+/// Load by model.
 pub type WorkByModel = BTreeMap<ModelName, ModelWork>;
 
-/// What arrived at one daemon: decayed counts, and the time in which they were counted,
-/// decayed in the same way.
+/// Load on one daemon: decayed counts, and the time over which they were counted, decayed in the
+/// same way.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DaemonWork {
-    /// Seconds.
+    /// Decayed counting time in seconds.
     pub seconds: f64,
-    /// Counts by model.
+    /// Decayed counts by model.
     pub counts: WorkByModel,
 }
 
@@ -100,32 +103,32 @@
     }
 }
 
-/// The work that arrives at the whole fleet, as far as one daemon heard.
+/// Estimated load on the whole fleet, from the counts that one daemon knows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetWork {
-    /// Work a second.
+    /// Load per second.
     pub per_second: WorkByModel,
-    /// Requests in the sample that it was reckoned from.
+    /// Decayed number of requests in the sample behind the estimate.
     pub sampled_requests: f64,
 }
 
-/// What arrived at this daemon, and what peers said arrived at them.
+/// Load on this daemon and, as reported by peers, on other daemons.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     own: DaemonWork,
-    /// When the counts were last brought up to date; none before the first request.
+    /// When the own counts were last decayed; `None` before the first request.
     counted_at: Option<Timestamp>,
     peers: BTreeMap<DaemonId, PeerWork>,
 }
 
-/// What arrived at a daemon until some time ago.
+/// Load on a daemon, as of some time ago.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkReport {
-    /// The daemon.
+    /// The daemon that counted.
     pub daemon: DaemonId,
-    /// How long ago it was counted, in milliseconds.
+    /// Age of the counts in milliseconds.
     pub ms_ago: u64,
-    /// What was counted.
+    /// The counts.
     pub work: DaemonWork,
 }
 
@@ -136,7 +139,7 @@
 }
 
 impl Demand {
-    /// A request for a model arrived, with a prompt of so many tokens.
+    /// Counts a request that arrived for a model, with its number of prompt tokens.
     pub fn record_request(&mut self, now: Timestamp, model: &ModelName, prompt_tokens: u32) {
         let work = ModelWork {
             requests: 1.0,
@@ -146,7 +149,7 @@
         self.add(now, model, work);
     }
 
-    /// A request for a model was answered whole, with so many outputs.
+    /// Counts a request for a model that was answered completely, with its number of outputs.
     pub fn record_answer(&mut self, now: Timestamp, model: &ModelName, outputs: u32) {
         let work = ModelWork {
             answers: 1.0,
@@ -163,6 +166,7 @@
     }
 
     /// What arrived at this daemon.
+    /// The load on this daemon, decayed to `now`.
     fn own(&self, now: Timestamp) -> DaemonWork {
         let Some(counted_at) = self.counted_at else {
             return DaemonWork::default();
@@ -173,7 +177,8 @@
         work
     }
 
-    /// What a message of this daemon, `me`, tells: its own counts, and those of others.
+    /// The reports for one message of this daemon, `me`: its own counts, if it has any, and those
+    /// of a random sample of peers.
     pub fn reports(
         &self,
         now: Timestamp,
@@ -199,7 +204,8 @@
             .collect()
     }
 
-    /// A peer sent what it knows; what is older than what is known changes nothing.
+    /// Merges the reports of a peer. Reports on this daemon, expired reports and those that are
+    /// not newer than the known ones are ignored.
     pub fn merge(&mut self, now: Timestamp, me: &DaemonId, reports: Vec<WorkReport>) {
         for WorkReport {
             daemon,
@@ -221,7 +227,8 @@
             .retain(|_, peer| now.since(peer.counted_at) < FORGET_AFTER);
     }
 
-    /// The work of a fleet of so many daemons. What peers sent longer ago counts for less.
+    /// Estimates the load on a fleet of `daemons` daemons from the known counts. Older reports of
+    /// peers have a lower weight.
     pub fn of_fleet(&self, now: Timestamp, daemons: usize) -> FleetWork {
         let mut sample = self.own(now);
         for peer in self.peers.values() {
--- a/shalehinge/src/core/earlier_hosts.rs
+++ b/shalehinge/src/core/earlier_hosts.rs
@@ -1,24 +1,26 @@
-//! Hosts as they were known in an earlier era of the store.
+//! Hosts as they were reported in the previous era of the store.
 //!
-//! The copy that a store is restored from is some seconds old: hosts that came since are missing in
-//! it, and hosts that began to leave, or left, are listed as they were before. So what was known
-//! of a host counts until the new era reports that host, or until the time in which hosts write
-//! their entries again is over.
+//! The backup that a store is restored from is a few seconds old: hosts that were added since are
+//! missing, and hosts that started to leave, or left, are listed in their former state. The
+//! former record of a host is therefore used until the new era reports the host, or until the
+//! time in which hosts register again has passed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::objects::{HostChanges, HostList, HostRecord, HostState};
 use super::types::{EngineStart, HostId};
 
-/// Hosts that left and are remembered: a restart of a large failure domain.
+/// Maximum number of departed hosts that are tracked: enough for the restart of a large failure
+/// domain.
 const MOST_DEPARTED: usize = 512;
 
-/// Hosts that left the list lately, and the life that ended.
+/// Hosts that were removed from the list recently, each with the start of the engine process that
+/// ended.
 #[derive(Clone, Debug, Default)]
 pub struct DepartedHosts(VecDeque<(HostId, Option<EngineStart>)>);
 
 impl DepartedHosts {
-    /// Notes hosts that changes remove from a list.
+    /// Records the hosts that a change removes from `list`.
     pub fn note(&mut self, list: &HostList, removed: &BTreeSet<HostId>) {
         for host in removed {
             if let Some(record) = list.hosts.get(host) {
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Whether this life of the host is known to have left.
+    /// Whether this engine process of the host is known to have left.
     fn contains(&self, host: &HostId, record: &HostRecord) -> bool {
         let mut departed = self.0.iter();
         departed
@@ -38,7 +40,7 @@
     }
 }
 
-/// What an earlier era reported of hosts that the new one has not reported yet.
+/// Host records of the previous era that the new era has not reported yet.
 #[derive(Clone, Debug)]
 pub struct EarlierHosts {
     listed: BTreeMap<HostId, HostRecord>,
@@ -47,7 +49,7 @@
 }
 
 impl EarlierHosts {
-    /// The last list of the earlier era, and who left it.
+    /// Creates the state from the last list of the previous era and the hosts that had left it.
     pub fn new(list: HostList, departed: DepartedHosts) -> Self {
         Self {
             listed: list.hosts,
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The new era reports these hosts.
+    /// Records that the new era reported these hosts, which supersedes their former records.
     pub fn note_changes(&mut self, changes: &HostChanges) {
         let told = changes.changed.keys().chain(&changes.removed);
         for host in told {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// A list of the new era, with what still counts of the earlier one.
+    /// Returns a list of the new era combined with the former records that still apply.
     pub fn laid_over(&self, list: &HostList) -> HostList {
         let mut hosts = list.hosts.clone();
         hosts.retain(|host, record| {
@@ -86,7 +88,7 @@
     }
 }
 
-/// What changed between two lists of one era.
+/// Returns the changes between two lists of the same era.
 pub fn changes_between(old: &HostList, new: &HostList) -> HostChanges {
     let removed = old.hosts.keys().filter(|id| !new.hosts.contains_key(id));
     let changed = new.hosts.iter();
--- a/shalehinge/src/core/feed.rs
+++ b/shalehinge/src/core/feed.rs
@@ -1,35 +1,34 @@
-//! One part of what the platform keeps, listed once and then watched.
+//! One scope of the platform's objects, listed once and then watched.
 //!
-//! A feed also knows how fresh its knowledge is: an exact answer shows how things
-//! stood when the platform was asked, never later, as a watch that hears nothing
-//! proves nothing until it answers. An answer that may be stale proves what an exact
-//! one proved of an older or the same revision.
+//! A feed also tracks how recent its data is. An exact answer proves the state at the time of the
+//! call and not later: a watch without an answer yet proves nothing. An answer that may be stale
+//! proves as much as an exact answer that reported the same or a lower revision.
 
 use std::time::Duration;
 
 use super::platform::{Freshness, PlatformCall, PlatformReply, PlatformResult, Scope};
 use super::types::{Timestamp, Version};
 
-/// How long a feed whose answers lagged behind asks exactly.
+/// How long a feed makes only exact calls after its answers lagged behind.
 const EXACT_AFTER_LAG: Duration = Duration::from_secs(5);
 
-/// That the platform had reached a revision at a time, by an exact answer.
+/// Proof from an exact answer that the platform had reached a revision at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
     /// The revision.
     pub revision: Version,
-    /// When the platform was asked.
+    /// When the call was made.
     pub at: Timestamp,
 }
 
-/// A call that was made and not answered yet.
+/// A call without an answer yet.
 #[derive(Clone, Copy, Debug)]
 struct Question {
     at: Timestamp,
     freshness: Freshness,
 }
 
-/// The state of one feed.
+/// A list-and-watch loop over one scope.
 #[derive(Clone, Debug)]
 pub struct Feed {
     scope: Scope,
@@ -39,16 +38,16 @@
     next_at: Timestamp,
     as_of: Option<Timestamp>,
     heard_at: Option<Timestamp>,
-    /// Answers lagged behind: until then only exact ones are asked for.
+    /// Answers lagged behind: only exact calls are made before this time.
     exact_until: Timestamp,
-    /// How new the next list must be.
+    /// Freshness that the next list call requires.
     list_freshness: Freshness,
-    /// The open question is of an era that is over: its answer only shows that the next may be asked.
+    /// The call in flight belongs to a previous era: its answer only allows the next call.
     is_question_outdated: bool,
 }
 
 impl Feed {
-    /// A feed that knows nothing yet.
+    /// Creates a feed that has not listed yet. Its first list is exact.
     pub fn new(scope: Scope) -> Self {
         Self {
             scope,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// A feed whose first list may be stale: its watches bring what is missing.
+    /// Creates a feed whose first list may be stale; its watches bring the missing changes.
     pub fn with_stale_list(scope: Scope) -> Self {
         Self {
             list_freshness: Freshness::MayBeStale,
@@ -72,51 +71,53 @@
         }
     }
 
-    /// Lists anew, exactly, as what was listed does not follow what is known.
+    /// Starts over with an exact list, as the known revision can't be continued.
     pub fn list_again(&mut self, now: Timestamp) {
         self.has_listed = false;
         self.list_freshness = Freshness::Exact;
         self.next_at = now;
     }
 
-    /// Lists anew in another era of the store, as soon as an open question has ended.
+    /// Starts over with an exact list in a new era of the store, once the call in flight has
+    /// ended.
     pub fn begin_era(&mut self, now: Timestamp) {
         self.list_again(now);
         self.is_question_outdated = self.question.is_some();
     }
 
-    /// What it is about.
+    /// The scope that the feed lists and watches.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// The time of which its knowledge is true at least, if it has any.
+    /// The latest time for which the feed's data is proven current; `None` without proof.
     pub fn as_of(&self) -> Option<Timestamp> {
         self.as_of
     }
 
-    /// When the platform last answered.
+    /// When the platform last answered successfully.
     pub fn heard_at(&self) -> Option<Timestamp> {
         self.heard_at
     }
 
-    /// Whether it has listed, or is about to.
+    /// Whether a list is complete, or a call is in flight.
     pub fn is_active(&self) -> bool {
         self.has_listed || self.question.is_some()
     }
 
-    /// Forgets all, as what is known now comes from elsewhere.
+    /// Discards all state. Used when the data comes from another source.
     pub fn reset(&mut self) {
         *self = Self::with_stale_list(self.scope);
     }
 
-    /// Whether it has read everything once.
+    /// Whether a list is complete.
     pub fn has_listed(&self) -> bool {
         self.has_listed
     }
 
-    /// The next call, if it is time: a list first, then watches of this freshness;
-    /// none after the list without one.
+    /// The next call, if one is due: first a list, then watches with the given freshness. Without
+    /// a freshness no call follows the list. `wait` is how long the platform may hold a watch
+    /// open.
     pub fn next_call(
         &mut self,
         now: Timestamp,
@@ -145,8 +146,9 @@
         })
     }
 
-    /// The call was answered, or not; the next one comes `spacing` after the last
-    /// began, or `pause` from now where it failed. `confirmed` is the newest known.
+    /// Handles the result of the call in flight. The next call is due `spacing` after this one
+    /// was made, or `pause` from now if it failed. `confirmed` is the most recent proof of any
+    /// feed.
     pub fn on_answer(
         &mut self,
         now: Timestamp,
@@ -164,7 +166,7 @@
         }
         match result {
             Ok(PlatformReply::Objects { revision, .. }) => {
-                // A stale answer never takes back what is known.
+                // A stale answer never lowers the known revision.
                 self.revision = self.revision.max(*revision);
                 self.has_listed = true;
                 self.heard_at = Some(now);
@@ -181,7 +183,8 @@
         }
     }
 
-    /// What an answer that may be stale proves.
+    /// Updates the proven time from an answer that may be stale, or requires exact calls if it
+    /// lags behind.
     fn judge(
         &mut self,
         now: Timestamp,
@@ -200,7 +203,7 @@
         }
     }
 
-    /// What the last exact answer proved.
+    /// The proof that the result gives if the call in flight was exact.
     pub fn confirmation(&self, result: &PlatformResult) -> Option<Confirmation> {
         let question = self
             .question
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Asks again as soon as possible.
+    /// Makes the next call due now.
     pub fn hurry(&mut self, now: Timestamp) {
         self.next_at = now;
     }
--- a/shalehinge/src/core/fleet_state.rs
+++ b/shalehinge/src/core/fleet_state.rs
@@ -1,8 +1,8 @@
-//! The newest accepted objects that this daemon knows. Versions only rise.
+//! The latest objects that this daemon has accepted. Versions never decrease.
 //!
-//! A store that is restored from a copy reports older objects under newer versions. Configurations
-//! and assignments carry an order of their own, which decides; hosts have none, so that what
-//! was known of them is kept for a while ([`super::earlier_hosts`]).
+//! A store that is restored from a backup reports older objects under newer versions.
+//! Configurations and assignments carry an order of their own, which decides. Host records have
+//! none, so the records of the previous era are kept for a while ([`super::earlier_hosts`]).
 
 use std::collections::BTreeMap;
 
@@ -15,19 +15,19 @@
 use super::routable_hosts::{ChangeLog, RoutableChanges, difference, of_changes, routable_hosts};
 use super::types::{AssignmentVersion, FailureDomain, FleetVersion, Version};
 
-/// An object that the platform or a peer told of.
+/// An object reported by the platform or a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectUpdate {
-    /// Which object.
+    /// Key of the object.
     pub key: ObjectKey,
-    /// At which version.
+    /// Version of the object.
     pub version: Version,
-    /// Its value then.
+    /// Value of the object at this version.
     pub object: Object,
 }
 
 impl ObjectUpdate {
-    /// Which configuration it is, if it is one.
+    /// The configuration's version, if the object is a configuration.
     pub fn fleet_version(&self) -> Option<FleetVersion> {
         let Object::Fleet(value) = &self.object else {
             return None;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Versions of the objects that are spread between daemons.
+/// Versions of the objects that daemons exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionDigest {
     /// Version of the configuration.
@@ -58,24 +58,24 @@
     }
 }
 
-/// How much of the host list is known, or told to peers.
+/// How much of the host list is known, or sent to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostDetail {
     /// All hosts.
     #[default]
     Whole,
-    /// Those that requests go to.
+    /// Only the hosts that requests are routed to.
     Routable,
 }
 
-/// What an object changed here.
+/// Effect of applying an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// Nothing: it was not newer, or does not follow what is known.
+    /// Nothing changed: the object was not newer, or does not follow the known version.
     Nothing,
-    /// Something that only the control of a failure domain needs.
+    /// A change that matters only to the controller of a failure domain.
     ControlOnly,
-    /// Something that routing needs, or peers.
+    /// A change that matters to routing or to peers.
     All,
 }
 
@@ -83,21 +83,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
     fleet: Option<Versioned<FleetConfig>>,
-    /// The newest configuration that the store reported, which may be an older one.
+    /// Version of the configuration last reported by the store, which may be older than the one
+    /// in force.
     stored_fleet: FleetVersion,
     hosts: Option<Versioned<HostList>>,
     departed_hosts: DepartedHosts,
     earlier_hosts: Option<EarlierHosts>,
-    /// The host list with what still counts of the earlier era, as long as anything does.
+    /// The host list combined with records of the previous era, while any of them apply.
     overlaid_hosts: Option<HostList>,
+    /// How much of the host list is known here.
     known_hosts: HostDetail,
+    /// How much of the host list is sent to peers.
     told_hosts: HostDetail,
     host_changes: ChangeLog,
     assignments: BTreeMap<FailureDomain, Versioned<Assignment>>,
 }
 
 impl FleetState {
-    /// Knows nothing yet; tells peers so much of the host list.
+    /// Creates an empty state that sends this much of the host list to peers.
     pub fn new(told_hosts: HostDetail) -> Self {
         Self {
             told_hosts,
@@ -105,19 +108,19 @@
         }
     }
 
-    /// The configuration in force; `None` before the first was seen.
+    /// The configuration in force; `None` before the first one was received.
     pub fn fleet(&self) -> Option<&Versioned<FleetConfig>> {
         self.fleet.as_ref()
     }
 
-    /// Which configuration is in force.
+    /// Version of the configuration in force.
     pub fn fleet_version(&self) -> FleetVersion {
         let fleet = self.fleet.as_ref();
         fleet.map_or(FleetVersion::NONE, Versioned::fleet_version)
     }
 
-    /// The store's version of the configuration, for writes that are conditional on it. What is
-    /// stored may be older than what is in force.
+    /// The store's version of the configuration, for conditional writes. The stored configuration
+    /// may be older than the one in force.
     pub fn stored_fleet_version(&self) -> Version {
         self.stored_fleet.stored
     }
@@ -127,24 +130,24 @@
         self.stored_fleet.generation < self.fleet_version().generation
     }
 
-    /// Version of the host list as last seen.
+    /// Version of the known host list.
     pub fn hosts_version(&self) -> Version {
         self.hosts.as_ref().map_or(Version::NONE, |o| o.version)
     }
 
-    /// The hosts that requests may go to: those last seen, with what an earlier era of the store
-    /// reported of hosts that the present one has not reported yet.
+    /// The hosts that requests may be routed to: the known list, combined with records of the
+    /// previous era for hosts that the current era has not reported yet.
     pub fn routed_hosts(&self) -> Option<&HostList> {
         let listed = self.hosts.as_ref().map(|hosts| &hosts.value);
         self.overlaid_hosts.as_ref().or(listed)
     }
 
-    /// Whether anything of an earlier era of the store still counts.
+    /// Whether records of a previous era of the store still apply.
     pub fn has_earlier_hosts(&self) -> bool {
         self.earlier_hosts.is_some()
     }
 
-    /// Hosts have had their time to write their entries again.
+    /// Discards the records of the previous era, once hosts have had time to register again.
     pub fn forget_earlier_hosts(&mut self) {
         self.earlier_hosts = None;
         self.overlaid_hosts = None;
@@ -158,19 +161,19 @@
             .map(|(earlier, hosts)| earlier.laid_over(&hosts.value));
     }
 
-    /// The host list as last seen, or the part of it that routing needs.
+    /// The known host list, which may be only the routable part.
     pub fn hosts(&self) -> Option<&Versioned<HostList>> {
         self.hosts.as_ref()
     }
 
-    /// The host list as last seen, if all of it is known.
+    /// The known host list, if it is complete.
     pub fn whole_hosts(&self) -> Option<&Versioned<HostList>> {
         let is_whole = self.known_hosts == HostDetail::Whole;
         self.hosts.as_ref().filter(|_| is_whole)
     }
 
-    /// Keeps the part of the host list that routing needs; from now on peers tell what
-    /// changes in it.
+    /// Discards the hosts that requests are not routed to. From now on changes come from peers,
+    /// which send the routable part only.
     pub fn forget_other_hosts(&mut self) {
         if self.known_hosts == HostDetail::Whole {
             self.known_hosts = HostDetail::Routable;
@@ -185,7 +188,8 @@
         &self.assignments
     }
 
-    /// Applies an object if it is newer than what is known.
+    /// Applies an object if it is newer than the known one. Assignments that fail their check are
+    /// ignored.
     pub fn apply(&mut self, update: ObjectUpdate) -> Applied {
         let version = update.version;
         let is_newer = match (update.key, update.object) {
@@ -235,7 +239,7 @@
             .is_none_or(|known| version > known.version);
         let knows_whole = self.whole_hosts().is_some();
         match object {
-            // A whole list is more than a part of the same version.
+            // A complete list supersedes a partial one of the same version.
             Object::Hosts(list) if is_newer || !knows_whole && self.is_at(version) => {
                 self.replace_hosts(version, list, HostDetail::Whole)
             }
@@ -262,13 +266,14 @@
         self.hosts.is_some() && self.hosts_version() == version
     }
 
-    /// Whether the list that is known was reported in the era of this version. Changes can only be
-    /// laid over a list of their own era.
+    /// Whether the known host list has the era of this version. Changes only apply to a list of
+    /// their own era.
     fn is_of_era(&self, version: Version) -> bool {
         self.hosts_version().era == version.era
     }
 
-    /// Keeps what the earlier era reported of hosts, or removes from it what the new list reports.
+    /// On a change of era, keeps the records of the previous era; otherwise discards those that
+    /// the new list supersedes.
     fn note_era_of_hosts(&mut self, version: Version, list: &HostList) {
         let is_same_era = self.is_of_era(version);
         let Some(known) = &self.hosts else {
@@ -285,7 +290,7 @@
         let before = self.routed_hosts().cloned().unwrap_or_default();
         let departed = std::mem::take(&mut self.departed_hosts);
         self.earlier_hosts = Some(EarlierHosts::new(before, departed));
-        // Peers may know changes of the earlier era that this daemon does not.
+        // Peers may have sent changes of the previous era that this daemon has not seen.
         self.host_changes.restart(version);
     }
 
@@ -305,7 +310,7 @@
         self.note_changes(version, changes)
     }
 
-    /// Applies what changed since the list that is known, or since one before it.
+    /// Applies changes since the known list, or since an earlier one.
     fn change_hosts(&mut self, version: Version, changes: HostChanges) -> Applied {
         let Some(known) = &mut self.hosts else {
             return Applied::Nothing;
@@ -334,7 +339,7 @@
         }
     }
 
-    /// What a peer needs to see whether it knows more.
+    /// The versions known here, from which a peer sees what is missing.
     pub fn digest(&self) -> VersionDigest {
         VersionDigest {
             fleet: self.fleet_version(),
@@ -347,8 +352,8 @@
         }
     }
 
-    /// The objects that are told whole and are newer here than in the digest. Only those
-    /// are copied, as most who ask have little to learn.
+    /// The objects that are sent in full and are newer here than in the digest. Only these are
+    /// copied, as most peers that ask are nearly up to date.
     pub fn whole_objects_after(&self, digest: &VersionDigest) -> Vec<ObjectUpdate> {
         let mut updates = Vec::new();
         if let Some(object) = &self.fleet
@@ -382,8 +387,9 @@
         updates
     }
 
-    /// What routing needs of the host list, where only that is told and it is newer here than
-    /// in the digest: what changed, as long as that is remembered, else all of it.
+    /// The routable part of the host list, if only that part is sent to peers and it is newer
+    /// here than in the digest: the changes since the digest if they are still logged, otherwise
+    /// the whole part.
     pub fn routable_hosts_after(&self, digest: &VersionDigest) -> Option<ObjectUpdate> {
         let known = self.hosts.as_ref()?;
         if self.told_hosts == HostDetail::Whole || known.version <= digest.hosts {
@@ -400,8 +406,8 @@
         })
     }
 
-    /// Whether a peer with this digest knows anything newer. Parts of the host list are
-    /// asked for at intervals, not as soon as a peer knows more.
+    /// Whether a peer with this digest has newer objects. A partial host list does not count, as
+    /// it is requested at intervals and not as soon as a peer has a newer one.
     pub fn is_behind(&self, digest: &VersionDigest) -> bool {
         let mine = self.digest();
         let newer_assignment = digest
--- a/shalehinge/src/core/lease.rs
+++ b/shalehinge/src/core/lease.rs
@@ -1,14 +1,14 @@
-//! The control lease of a failure domain: at most one daemon acts for it.
+//! The control lease of a failure domain: at most one daemon acts for the domain at a time.
 //!
-//! The holder counts its term from before it sent the write, and stops a margin
-//! early. A candidate counts a full term from when it last saw the lease change.
-//! Both use their own monotonic clock, so clocks are never compared. The epoch
-//! rises with each holder and fences the orders to engines.
+//! The holder counts its term from before it sent the write, and stops a safety margin before the
+//! end. A candidate counts a full term from when it last saw the lease change. Both use their own
+//! monotonic clock, so clocks are never compared. The epoch rises with each new holder and serves
+//! as the fencing token of orders to engines.
 //!
-//! A store that is restored from a copy may have lost the lease, or hold an older one. Whoever held
-//! it stops at once, and takes it anew without a wait as long as its old term lasts. Nobody else
-//! takes a lease that is missing or given back until a full term after it first saw the era: the
-//! last holder of the era before acts no longer by then.
+//! A store that is restored from a backup may have lost the lease, or hold an older one. The
+//! holder stops at once, and may take the lease again without a wait while its former term lasts.
+//! No other daemon takes a lease that is missing or released until a full term after it first saw
+//! the new era: by then the last holder of the previous era has stopped.
 
 use std::time::Duration;
 
@@ -17,37 +17,39 @@
 use super::types::{DaemonId, Epoch, Incarnation, OperationId, StoreEra, Timestamp, Version};
 use crate::settings::lease::LeaseSettings;
 
-/// What the lease wants from the platform next.
+/// The next platform call that the lease needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Read the lease object.
+    /// Read the lease object with this freshness.
     Read(Freshness),
     /// Write this record if the object still has this version.
     Write {
-        /// Version that the write is conditional on.
+        /// Version that the stored object must have.
         expect: Version,
         /// The record to write.
         record: LeaseRecord,
     },
 }
 
-/// The last change of the lease that this daemon saw.
+/// The latest version of the lease that this daemon has seen.
 #[derive(Clone, Debug)]
 struct Observation {
+    /// The lease; `None` if the object did not exist.
     lease: Option<Versioned<LeaseRecord>>,
     /// When this version was first seen.
     changed_at: Timestamp,
 }
 
-/// The era of the store that this daemon knows.
+/// The current era of the store, as known to this daemon.
 #[derive(Clone, Copy, Debug)]
 struct KnownEra {
     era: StoreEra,
-    /// When it was first seen; none where nobody can have held a lease before it.
+    /// When this daemon first saw the era; `None` if no daemon can have held a lease in a
+    /// previous one.
     seen_at: Option<Timestamp>,
 }
 
-/// A write on its way, or one whose answer was lost.
+/// A write in flight, or one whose outcome is unknown.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     operation: OperationId,
@@ -55,7 +57,7 @@
     record: LeaseRecord,
 }
 
-/// The lease as one daemon sees it.
+/// One daemon's state of the control lease.
 #[derive(Clone, Debug)]
 pub struct ControlLease {
     settings: LeaseSettings,
@@ -63,21 +65,24 @@
     incarnation: Incarnation,
     observation: Option<Observation>,
     pending: Option<PendingWrite>,
+    /// The epoch under which this daemon holds the lease until `valid_until`.
     held_epoch: Option<Epoch>,
-    /// The highest epoch that is known to have been held.
+    /// The highest epoch known to have been in use.
     highest_epoch: Epoch,
+    /// End of the time in which this daemon may act, if `held_epoch` is set.
     valid_until: Timestamp,
     era: Option<KnownEra>,
-    /// Until when this daemon held the lease in the era before, if it did.
+    /// End of this daemon's validity in the previous era; in the past if it did not hold the
+    /// lease.
     held_before_until: Timestamp,
     next_step_at: Timestamp,
     in_flight: bool,
-    /// How the lease is read while nothing is known of it.
+    /// Freshness of the next read while the lease is not known.
     first_read: Freshness,
 }
 
 impl ControlLease {
-    /// A daemon that knows nothing of the lease yet.
+    /// Creates the state of a daemon that has not read the lease yet.
     pub fn new(settings: LeaseSettings, me: DaemonId, incarnation: Incarnation) -> Self {
         Self {
             settings,
@@ -105,19 +110,20 @@
         }
     }
 
-    /// Until when orders may go out, if the lease is held.
+    /// Time until which orders may be sent, if the lease is held.
     pub fn valid_until(&self) -> Timestamp {
         self.valid_until
     }
 
-    /// The holder that was last seen, for status pages and for reports to it.
+    /// The last known holder, for status pages and for reports to it.
     pub fn holder(&self) -> Option<&DaemonId> {
         let lease = self.observation.as_ref()?.lease.as_ref()?;
         Some(&lease.value.holder)
     }
 
-    /// The store is in this era. `is_first_start` says that nobody held a lease in an era before,
-    /// as the whole fleet starts for the first time.
+    /// Records the era of the store; eras that are not newer are ignored. `is_first_start` states
+    /// that the whole fleet starts for the first time, so that no lease was held in a previous
+    /// era.
     pub fn note_era(&mut self, now: Timestamp, era: StoreEra, is_first_start: bool) {
         if self.era.is_some_and(|known| era <= known.era) {
             return;
@@ -144,20 +150,21 @@
         self.era.map_or(StoreEra::UNREPORTED, |known| known.era)
     }
 
-    /// Whether a lease that is missing or given back may be taken at once: nobody can still hold it
-    /// by what an earlier era reported.
+    /// Whether a lease that is missing or released may be taken at once, as no daemon can still
+    /// hold one from a previous era.
     fn is_unheld_for_sure(&self, now: Timestamp) -> bool {
         let seen_at = self.era.and_then(|known| known.seen_at);
         let is_settled = seen_at.is_none_or(|seen_at| now.since(seen_at) >= self.settings.term);
         is_settled || self.may_resume(now)
     }
 
-    /// Whether this daemon held the lease when the era changed, and its term still lasts.
+    /// Whether this daemon held the lease when the era changed and its former term has not ended.
     fn may_resume(&self, now: Timestamp) -> bool {
         now < self.held_before_until
     }
 
-    /// What to do now, if anything. `candidate` says whether this daemon should try.
+    /// The next call, if one is due. `candidate` states whether this daemon should try to take
+    /// the lease.
     pub fn step(
         &mut self,
         now: Timestamp,
@@ -196,7 +203,7 @@
         if self.held(now).is_some() {
             return self.write(now, version, epoch, operation);
         }
-        // Nobody took it since the store was restored.
+        // The lease was last written before the restore.
         let is_copied = epoch.is_before(self.store_era());
         if self.may_resume(now) && is_copied {
             return self.write(now, version, next_epoch, operation);
@@ -210,8 +217,8 @@
         if lapsed || lease.value.released && is_unheld_for_sure {
             return self.write(now, version, next_epoch, operation);
         }
-        // An old answer only shows the holder's last writes later. A lease that was renewed
-        // meanwhile can't be taken, as the write has this version for its condition.
+        // A stale answer only delays what this daemon sees of the holder's writes. A lease that
+        // was renewed meanwhile can't be taken, as the write is conditional on this version.
         LeaseStep::Read(Freshness::MayBeStale)
     }
 
@@ -238,7 +245,7 @@
         LeaseStep::Write { expect, record }
     }
 
-    /// The write that gives the lease back on a planned stop, if it is held.
+    /// The write that releases the lease on a planned stop, if it is held.
     pub fn release(&mut self, now: Timestamp, operation: OperationId) -> Option<LeaseStep> {
         let epoch = self.held(now)?;
         self.held_epoch = None;
@@ -255,7 +262,7 @@
         Some(LeaseStep::Write { expect, record })
     }
 
-    /// A read was answered; `None` means that the object does not exist.
+    /// Handles the answer to a read; `None` means that the object does not exist.
     pub fn on_read(&mut self, now: Timestamp, lease: Option<Versioned<LeaseRecord>>) {
         self.in_flight = false;
         if let Some(pending) = self.pending.take() {
@@ -267,9 +274,9 @@
         self.observe(now, lease);
     }
 
-    /// The object is not in the form of a lease, as another writer overwrote it. It counts as
-    /// held by somebody unknown, until it stayed the same for a term: whoever held the lease
-    /// can't renew it, so that its term is over by then.
+    /// Handles an object that is not a lease record, as another writer overwrote it. It counts as
+    /// held by an unknown daemon until it has stayed unchanged for a term: the former holder
+    /// can't renew the lease, so its term is over by then.
     pub fn on_foreign(&mut self, now: Timestamp, version: Version) {
         self.in_flight = false;
         self.pending = None;
@@ -284,9 +291,9 @@
         self.observe(now, Some(Versioned { version, value }));
     }
 
-    /// What is stored was written under this epoch. A lease that began anew below it, as the
-    /// one before was overwritten, is raised above it before anything is ordered: engines
-    /// refuse orders of an epoch that has passed.
+    /// Records that an assignment was stored under this epoch. A lease that restarted below it,
+    /// as the former record was overwritten, is raised above it before any order is sent: engines
+    /// refuse orders of an earlier epoch.
     pub fn note_epoch(&mut self, epoch: Epoch) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.held_epoch.is_some_and(|held| held < epoch) {
@@ -299,7 +306,7 @@
         lease.holder == self.me && lease.incarnation == self.incarnation
     }
 
-    /// Decides an unclear write by what the read-back shows.
+    /// Decides a write of unknown outcome by the record that was read back.
     fn settle(&mut self, pending: &PendingWrite, lease: Option<&Versioned<LeaseRecord>>) {
         let ours = lease.is_some_and(|lease| lease.value.operation == pending.operation);
         if ours {
@@ -307,7 +314,7 @@
         }
     }
 
-    /// A write took effect at this version.
+    /// Handles a write that took effect at this version.
     pub fn on_written(&mut self, now: Timestamp, version: Version) {
         self.in_flight = false;
         let Some(pending) = self.pending.take() else {
@@ -321,22 +328,24 @@
         self.observe(now, Some(lease));
     }
 
-    /// A write was refused, as the object had another version.
+    /// Handles a write that was refused because the object had another version.
     pub fn on_conflict(&mut self, now: Timestamp) {
         self.in_flight = false;
         self.pending = None;
         self.held_epoch = None;
         self.next_step_at = now;
-        // What is known is out of date; the next step reads.
+        // The known record is out of date, so the next step reads.
         self.observation = None;
         self.first_read = Freshness::Exact;
     }
 
-    /// A call failed and may or may not have taken effect.
+    /// Handles a failed call, which may have taken effect.
     pub fn on_unclear(&mut self) {
         self.in_flight = false;
     }
 
+    /// Records that this daemon holds the lease from `sent_at` until the term less the margin has
+    /// passed.
     fn hold(&mut self, epoch: Epoch, sent_at: Timestamp) {
         let useful = self.settings.term.saturating_sub(self.settings.margin);
         self.held_epoch = (epoch >= self.highest_epoch).then_some(epoch);
@@ -344,7 +353,7 @@
         self.valid_until = sent_at + useful;
     }
 
-    /// Whether an answer shows the lease as it was before what is known of it.
+    /// Whether an answer is older than the known record.
     fn is_older(&self, lease: Option<&Versioned<LeaseRecord>>) -> bool {
         let known = self
             .observation
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -1,13 +1,14 @@
-//! Which daemons are alive, by gossip of heartbeat counters.
+//! Membership of daemons, by gossip of heartbeat counters.
 //!
-//! Each daemon counts up its own heartbeat and pulls news of the others from a peer a
-//! turn. A member whose counter has not advanced for long is taken for dead. A message
-//! names a few members whole, and the counters of many in a few bytes each: of the sender's
-//! failure domain all, as its duties are divided by them, of the others a sample, so that
-//! messages grow with the failure domain, not with the fleet.
+//! Each daemon increments its own heartbeat counter and pulls updates on the others from one peer
+//! per round. A member whose counter has not advanced for a time is considered dead. A message
+//! contains a few heartbeats in full and the counters of many members in a few bytes each: those
+//! of the sender's failure domain completely, as duties within a domain are divided by them, and
+//! a sample of the others. The size of a message thus grows with the failure domain and not with
+//! the fleet.
 //!
-//! Used only to divide work; leases and conditional updates keep it safe when two
-//! daemons see different members.
+//! Membership is only used to divide work. Leases and conditional updates keep the result safe
+//! when two daemons see different members.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
@@ -19,34 +20,34 @@
 use super::types::{Address, DaemonId, FailureDomain, FleetVersion, Incarnation, Timestamp};
 use crate::settings::membership::MembershipSettings;
 
-/// Counters of other failure domains in one message: so many that most members of a fleet of
-/// hundreds are seen alive, while messages stay small.
+/// Number of counters of other failure domains in one message: enough that most members of a
+/// fleet of hundreds are seen alive, while messages stay small.
 const REMOTE_COUNTERS: usize = 32;
-/// Members in a reply that the asker does not know, or not as they are now. A
-/// daemon that starts knows a domain of 60 after a few pulls.
+/// Maximum number of members sent in full in a reply because the requester does not know them or
+/// their latest revision. A daemon that starts knows a domain of 60 after a few pulls.
 const NEWS: usize = 16;
 
-/// What a daemon tells of itself, or of another.
+/// What daemons exchange about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where its peers reach it.
+    /// Address for requests of peers.
     pub address: Address,
-    /// Where it is.
+    /// Failure domain of the daemon.
     pub failure_domain: FailureDomain,
-    /// Which run of it.
+    /// Identifies the run of the daemon; a later run has a higher one.
     pub incarnation: Incarnation,
-    /// Counts up while it lives.
+    /// Increases each round while the daemon runs.
     pub counter: u64,
-    /// Counts up with each change of what follows.
+    /// Increases with each change of the members below.
     #[serde(default)]
     pub revision: u64,
-    /// It is stopping and takes no more duties.
+    /// Whether the daemon is stopping and takes no more duties.
     pub leaving: bool,
-    /// Version of the configuration that it has in force.
+    /// Version of the configuration in force at the daemon.
     pub fleet: FleetVersion,
-    /// It holds control of its failure domain.
+    /// Whether the daemon holds the control lease of its failure domain.
     #[serde(default)]
     pub holds_control: bool,
 }
@@ -65,16 +66,16 @@
     }
 }
 
-/// A run of a daemon, in four bytes. Two runs may share one, so that a dead daemon seems
-/// alive: that costs calls without an answer.
+/// Hash of a daemon and its incarnation in four bytes. On a collision a dead daemon seems alive,
+/// which costs calls without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RunId(pub u32);
 
-/// A heartbeat of a member that both sides know already.
+/// Short form of a heartbeat, for members that the receiver already knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BriefHeartbeat {
-    /// Which run of which daemon.
+    /// The daemon and its run.
     pub run: RunId,
     /// See [`Heartbeat::counter`].
     pub counter: u64,
@@ -82,37 +83,40 @@
     pub revision: u64,
 }
 
-/// What one message tells of the members.
+/// The membership part of one message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender.
+    /// Heartbeat of the sender.
     pub sender: Heartbeat,
-    /// Other members, whole.
+    /// Full heartbeats of other members.
     pub members: Vec<Heartbeat>,
-    /// More members in brief, all of the sender's failure domain among them.
+    /// Short heartbeats, among them those of all members of the sender's failure domain.
     pub brief: Vec<BriefHeartbeat>,
 }
 
-/// Who decides on something.
+/// The daemon that decides on a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This daemon.
     Me,
-    /// The peer that is reached there.
+    /// The peer at this address.
     Peer(Address),
 }
 
 #[derive(Clone, Debug)]
+/// A known member.
 struct MemberState {
     heartbeat: Heartbeat,
+    /// When the counter last advanced.
     advanced_at: Timestamp,
 }
 
-/// The members that this daemon knows of.
+/// The members known to this daemon.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
     me: Heartbeat,
+    /// Configured addresses to pull from besides known members.
     seeds: Vec<Address>,
     members: BTreeMap<DaemonId, MemberState>,
     runs: BTreeMap<RunId, DaemonId>,
@@ -120,7 +124,8 @@
 }
 
 impl Membership {
-    /// Knows only itself and the addresses to ask first.
+    /// Creates a membership that knows this daemon only; `seeds` are the addresses to pull from
+    /// first.
     pub fn new(settings: MembershipSettings, me: Heartbeat, seeds: Vec<Address>) -> Self {
         let seeds = seeds
             .into_iter()
@@ -136,24 +141,24 @@
         }
     }
 
-    /// What this daemon tells of itself.
+    /// The heartbeat of this daemon.
     pub fn me(&self) -> &Heartbeat {
         &self.me
     }
 
-    /// Tells peers which configuration is in force here.
+    /// Sets the configuration version that peers see.
     pub fn set_fleet(&mut self, version: FleetVersion) {
         self.me.fleet = version;
         self.me.revision += 1;
     }
 
-    /// Tells peers whether this daemon holds control of its failure domain.
+    /// Sets whether peers see this daemon as the holder of control of its failure domain.
     pub fn set_control(&mut self, holds_control: bool) {
         self.me.holds_control = holds_control;
         self.me.revision += 1;
     }
 
-    /// Where those are reached that hold control of a failure domain, by what they told.
+    /// Addresses of the live members that report to hold control of a failure domain.
     pub fn holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
         self.alive(now)
             .filter(|peer| peer.holds_control && peer.failure_domain == *domain)
@@ -161,13 +166,14 @@
             .collect()
     }
 
-    /// Tells peers that this daemon is stopping.
+    /// Marks this daemon as stopping.
     pub fn leave(&mut self) {
         self.me.leaving = true;
         self.me.revision += 1;
     }
 
-    /// Whom to pull from now, if it is time.
+    /// The peer to pull from, if a pull is due. Also increments the own counter and removes
+    /// members that are dead for long.
     pub fn pull_target(&mut self, now: Timestamp, rng: &mut impl rand::Rng) -> Option<Address> {
         if now < self.next_pull_at {
             return None;
@@ -178,13 +184,15 @@
         self.random_peer(now, rng)
     }
 
-    /// Every other pull goes to the own failure domain, whose members matter most. Seeds
-    /// stay targets for ever, so that a healed cut is found again; the more daemons there
-    /// are, the more rarely each asks one.
+    /// Chooses a random peer. Half of the pulls go to the own failure domain, whose members
+    /// matter most. Seeds remain targets permanently, so that a healed network partition is
+    /// detected; the more daemons there are, the more rarely each pulls from a seed.
     pub fn random_peer(&self, now: Timestamp, rng: &mut impl rand::Rng) -> Option<Address> {
+        /// Upper bound of the probability that a pull goes to a seed.
         const SEED_TURN: f64 = 0.1;
-        /// Pulls of seeds in one turn of the whole fleet.
+        /// Pulls from seeds by the whole fleet in one round.
         const SEED_PULLS: f64 = 1.5;
+        /// Probability that a pull goes to the own failure domain.
         const OWN_DOMAIN_TURN: f64 = 0.5;
         let alive: Vec<&Heartbeat> = self.alive(now).collect();
         let seed_turn = SEED_TURN.min(SEED_PULLS / (alive.len() as f64 + 1.0));
@@ -210,7 +218,7 @@
         self.runs.retain(|_, daemon| members.contains_key(daemon));
     }
 
-    /// What a message tells that is not about members.
+    /// Gossip for a message on another topic: the sender's heartbeat only.
     pub fn greeting(&self) -> Gossip {
         Gossip {
             sender: self.me.clone(),
@@ -219,8 +227,9 @@
         }
     }
 
-    /// What a message of this daemon tells. `asked` is what the peer told, if this is the
-    /// answer to it: then it is told of members that it does not know as they are.
+    /// Gossip for one message. `asked` is the gossip of the request, if this is the answer to it:
+    /// then it contains members that the requester does not know, or not at their latest
+    /// revision.
     pub fn gossip(
         &self,
         now: Timestamp,
@@ -237,7 +246,7 @@
             .into_iter()
             .map(|peer| (&peer.daemon, peer))
             .collect();
-        // Few hold control, and news of a loss must find them.
+        // Few daemons hold control, and reports of a loss must reach them.
         let holders = self.alive(now).filter(|peer| peer.holds_control);
         members.extend(holders.map(|peer| (&peer.daemon, peer)));
         let asked = asked.filter(|asked| asked.sender.failure_domain == self.me.failure_domain);
@@ -252,7 +261,7 @@
         }
     }
 
-    /// Applies what a peer told; an older run or counter changes nothing.
+    /// Merges the gossip of a peer; an older run or counter is ignored.
     pub fn merge(&mut self, now: Timestamp, gossip: Gossip) {
         for heartbeat in gossip.members.into_iter().chain([gossip.sender]) {
             if heartbeat.daemon != self.me.daemon {
@@ -271,7 +280,8 @@
             self.add(now, run, heartbeat);
             return;
         };
-        // Incarnations come from the wall clock at the start, so a new run is higher.
+        // Incarnations are taken from the wall clock at the start, so a later run has a higher
+        // one.
         if heartbeat.incarnation < known.heartbeat.incarnation {
             return;
         }
@@ -299,7 +309,7 @@
         self.members.insert(daemon, state);
     }
 
-    /// A run that is not known whole is passed over: who it is comes with a reply.
+    /// Short heartbeats of unknown runs are ignored; the full heartbeat follows in a reply.
     fn merge_brief(&mut self, now: Timestamp, brief: BriefHeartbeat) {
         let known = self.runs.get(&brief.run);
         let Some(member) = known.and_then(|daemon| self.members.get_mut(daemon)) else {
@@ -312,9 +322,9 @@
         }
     }
 
-    /// How many daemons the fleet has at the least, this one among them. Members of other
-    /// failure domains are heard of more rarely, so that these count at least as many as
-    /// the own one: what is divided among all is then never handed out twice.
+    /// Lower bound of the number of daemons in the fleet, including this one. Heartbeats of other
+    /// failure domains arrive more rarely, so each known domain counts as at least as large as
+    /// the own one: shares of a fleet-wide total then never add up to more than the total.
     pub fn fleet_size(&self, now: Timestamp) -> usize {
         let heartbeats = self.members.values().map(|member| &member.heartbeat);
         let known: BTreeSet<&FailureDomain> = heartbeats
@@ -328,7 +338,7 @@
         by_domain.max(self.alive(now).count() + 1)
     }
 
-    /// The live others.
+    /// Live members other than this daemon.
     pub fn alive(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
         let dead_after = self.settings.dead_after;
         self.members
@@ -337,7 +347,7 @@
             .map(|member| &member.heartbeat)
     }
 
-    /// Live members of a failure domain that take duties, this daemon among them.
+    /// Live members of a failure domain that take duties, including this daemon.
     pub fn on_duty<'a>(
         &'a self,
         now: Timestamp,
@@ -349,25 +359,25 @@
             .map(|peer| &peer.daemon)
     }
 
-    /// Members of the own failure domain by their weight for a duty, the highest first.
+    /// Members of the own failure domain by their rendezvous weight for a duty, highest first.
     pub fn ranked(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
         let domain = &self.me.failure_domain;
         hash::top(&duty, self.on_duty(now, domain), usize::MAX)
     }
 
-    /// Whether there is any daemon to ask.
+    /// Whether any seed is configured.
     pub fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Whether this daemon is among the `count` responsible for `duty` in its domain.
+    /// Whether this daemon is among the `count` members responsible for `duty` in its domain.
     pub fn is_responsible(&self, now: Timestamp, duty: &str, count: usize) -> bool {
         let domain = &self.me.failure_domain;
         hash::top(&duty, self.on_duty(now, domain), count).contains(&&self.me.daemon)
     }
 
-    /// The one live member that decides on a subject in a failure domain; of all members where
-    /// none of that domain is known.
+    /// The live member that decides on a subject in a failure domain. If no member of the domain
+    /// is known, it is chosen among all members.
     pub fn owner(&self, now: Timestamp, domain: &FailureDomain, subject: &impl Hash) -> Owner {
         let of_domain = hash::top(subject, self.on_duty(now, domain), 1);
         let owner = of_domain.into_iter().next().or_else(|| {
@@ -380,8 +390,8 @@
             .map_or(Owner::Me, Owner::Peer)
     }
 
-    /// The one live member of the fleet that decides on a subject: of a failure domain that the
-    /// subject chooses, whose members know each other.
+    /// The live member of the fleet that decides on a subject. The subject selects a failure
+    /// domain first, as members of one domain know each other.
     pub fn fleet_owner(&self, now: Timestamp, subject: &impl Hash) -> Owner {
         let peers = self.alive(now).filter(|peer| !peer.leaving);
         let domains: BTreeSet<&FailureDomain> = peers
@@ -394,7 +404,7 @@
             .map_or(Owner::Me, |domain| self.owner(now, domain, subject))
     }
 
-    /// Where those responsible for `duty` in a failure domain are reached.
+    /// Addresses of the live peers that are responsible for `duty` in a failure domain.
     pub fn responsible_addresses(
         &self,
         now: Timestamp,
@@ -408,21 +418,21 @@
             .collect()
     }
 
-    /// Where a live peer is reached.
+    /// Address of a live peer.
     pub fn address_of(&self, now: Timestamp, daemon: &DaemonId) -> Option<Address> {
         self.alive(now)
             .find(|peer| peer.daemon == *daemon)
             .map(|peer| peer.address)
     }
 
-    /// The failure domain of the peer at an address, if it is known.
+    /// Failure domain of the peer at an address, if the peer is known.
     pub fn domain_of(&self, address: Address) -> Option<&FailureDomain> {
         let mut members = self.members.values().map(|member| &member.heartbeat);
         let peer = members.find(|peer| peer.address == address)?;
         Some(&peer.failure_domain)
     }
 
-    /// A few random live peers, for rumours.
+    /// Addresses of up to `count` random live peers.
     pub fn some_peers(
         &self,
         now: Timestamp,
@@ -435,7 +445,7 @@
     }
 }
 
-/// Members that the asker does not know, or not as they are now.
+/// Members that the requester does not know, or not at their latest revision.
 fn news_for<'a>(asked: &Gossip, members: &[&'a Heartbeat]) -> impl Iterator<Item = &'a Heartbeat> {
     let known: BTreeMap<RunId, u64> = asked
         .brief
--- a/shalehinge/src/core/permits.rs
+++ b/shalehinge/src/core/permits.rs
@@ -1,8 +1,9 @@
-//! Permits to send requests to upstreams that name how many they take.
+//! Permits to send requests to upstreams that state a limit on their request rate.
 //!
-//! Such a limit holds for all daemons together, so that one of them, its owner, hands out permits:
-//! a permit is for one request, and counts for a short time. A daemon that kept a part of the
-//! limit for itself could not send less than one request: 340 of them would send 340 at once.
+//! Such a limit applies to all daemons together, so one daemon, the owner of the limit, grants
+//! permits. A permit is for one request and expires after a short time. The limit is not divided
+//! into fixed shares, as a daemon can't send less than one request: 340 daemons with a share each
+//! would send 340 requests at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,68 +14,69 @@
 use super::router::request::UpstreamId;
 use super::types::{Address, EngineStart, FailureDomain, Timestamp};
 
-/// How long an owner remembers who asks: longer than the pause between two questions, so that
-/// whoever comes last keeps its turn.
+/// How long an owner keeps a daemon's permit request. It is longer than the interval between two
+/// requests of a daemon, so that the daemon at the end of the queue keeps its place.
 const QUESTION_TIME: Duration = Duration::from_millis(2_500);
-/// How long a permit may be used after it came, and the pause between two questions of a daemon
-/// with requests that wait.
+/// How long a permit is valid after it was received, and the interval between two permit requests
+/// of a daemon with waiting requests.
 pub const PERMIT_TIME: Duration = Duration::from_secs(1);
-/// Permits that may be saved up, in seconds of the rate, beside one.
+/// Unused permits that may accumulate beyond the first one, in seconds of the rate.
 const SAVED_SECONDS: f64 = 0.5;
-/// Least rate, in requests a second: without any request no answer could end a limit of 0.
+/// Lowest effective rate in requests per second: without any request, no answer could end a limit
+/// of 0.
 const LEAST_RATE: f64 = 0.25;
-/// Time between two messages to all daemons on one upstream, which may change its mind in every
-/// answer.
+/// Minimum interval between two broadcasts on one upstream, as an upstream may start or end its
+/// limit in every answer.
 const TOLD_SPACING: Duration = Duration::from_secs(1);
-/// A limit of which nobody asks or tells is forgotten after so long.
+/// A limit is removed if no daemon has reported it or asked for it for this time.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Upstreams that are remembered.
+/// Maximum number of upstreams whose limits are tracked.
 const MOST_UPSTREAMS: usize = 4_096;
 
-/// Requests a second for which permits are handed out at this limit.
+/// Rate at which permits are granted for this limit, in requests per second.
 pub fn effective(limit: RequestRate) -> f64 {
     limit.get().max(LEAST_RATE)
 }
 
-/// Permits that can be saved up at this limit.
+/// Maximum number of unused permits at this limit.
 pub fn at_once(limit: RequestRate) -> f64 {
     1.0 + effective(limit) * SAVED_SECONDS
 }
 
-/// What a daemon tells of an upstream's limit.
+/// What a daemon knows of an upstream's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Which upstream.
+    /// The upstream.
     pub upstream: UpstreamId,
-    /// Where it is.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// Which life of it, where that is known: a limit ends with it.
+    /// The upstream's start, if known. A limit ends with the process that stated it.
     pub started: Option<EngineStart>,
-    /// The limit; `None` if it named none any more.
+    /// The limit; `None` if the upstream states no limit any more.
     pub rate: Option<RequestRate>,
-    /// How long ago the answer came that showed it, in milliseconds, rounded up.
+    /// Age of the answer that stated this, in milliseconds, rounded up.
     pub ms_ago: u64,
 }
 
-/// A daemon asks the owner of an upstream's limit for permits.
+/// A daemon's request for permits to the owner of an upstream's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// What the asker knows of the limit.
+    /// What the requesting daemon knows of the limit.
     pub known: LimitReport,
-    /// Permits that it can use within [`PERMIT_TIME`].
+    /// Number of permits that it can use within [`PERMIT_TIME`].
     pub wanted: u32,
 }
 
-/// An owner hands out permits.
+/// Permits that an owner grants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitGrant {
-    /// For which upstream.
+    /// The upstream that they are for.
     pub upstream: UpstreamId,
-    /// So many requests.
+    /// Number of requests that may be sent.
     pub count: u32,
 }
 
-/// A limit, or that there is none, with the time of which it is known.
+/// A limit, or its absence, with the time at which it was stated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Known {
     started: Option<EngineStart>,
@@ -82,7 +84,7 @@
     as_of: Timestamp,
 }
 
-/// Requests that may be sent now, which grow with the rate.
+/// A token bucket that is filled at the rate of a limit.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -90,7 +92,7 @@
 }
 
 impl TokenBucket {
-    /// An empty one: who owned the limit until now may have granted all that there was.
+    /// Creates an empty bucket, as the previous owner may have granted all available permits.
     fn empty(now: Timestamp) -> Self {
         Self {
             tokens: 0.0,
@@ -104,7 +106,7 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes out whole tokens, so many at most.
+    /// Takes up to `wanted` whole tokens and returns their number.
     fn take(&mut self, wanted: u32) -> u32 {
         let count = (self.tokens.floor() as u32).min(wanted);
         self.tokens -= f64::from(count);
@@ -112,7 +114,7 @@
     }
 }
 
-/// A daemon that waits for permits.
+/// A daemon waiting for permits.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     daemon: Address,
@@ -120,37 +122,40 @@
     asked_at: Timestamp,
 }
 
-/// A limit that this daemon owns.
+/// A limit owned by this daemon.
 #[derive(Clone, Debug)]
 struct OwnedLimit {
     failure_domain: FailureDomain,
     known: Known,
     bucket: TokenBucket,
-    /// Who waits, the first to come at the front.
+    /// Waiting daemons in the order of their first request.
     waiting: Vec<Waiting>,
-    /// What all daemons were last told: whether there is a limit.
+    /// Whether the last broadcast stated a limit.
     told: bool,
+    /// Time of the last broadcast.
     told_at: Option<Timestamp>,
+    /// When a daemon last reported on the limit.
     used_at: Timestamp,
 }
 
-/// Permits for a daemon.
+/// Permits granted to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Granted {
-    /// Who gets them.
+    /// The daemon that receives the permits.
     pub daemon: Address,
-    /// What it gets.
+    /// The permits.
     pub grant: PermitGrant,
 }
 
-/// The limits that one daemon owns.
+/// The limits owned by one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct PermitOwner {
     limits: BTreeMap<UpstreamId, OwnedLimit>,
 }
 
 impl PermitOwner {
-    /// Takes in what a daemon tells as of `told_at`. Older news change nothing.
+    /// Records a report whose age is relative to `told_at`. Reports on an older state are
+    /// ignored.
     pub fn learn(&mut self, now: Timestamp, told_at: Timestamp, report: &LimitReport) {
         let known = Known {
             started: report.started,
@@ -171,15 +176,15 @@
         }
         let is_same_life = !EngineStart::differ(known.started, owned.known.started);
         match owned.known.rate.filter(|_| is_same_life) {
-            // What has passed counts at the rate that was in force.
+            // The time until now counts at the previous rate.
             Some(rate) => owned.bucket.fill(now, rate),
             None => owned.bucket = TokenBucket::empty(now),
         }
         owned.known = known;
     }
 
-    /// A daemon asks for permits. A later question takes the place of an earlier one, which
-    /// keeps its turn.
+    /// Queues a daemon's request for permits. A later request of the same daemon replaces the
+    /// earlier one and keeps its place.
     pub fn ask(&mut self, now: Timestamp, daemon: Address, upstream: &UpstreamId, wanted: u32) {
         let Some(owned) = self.limits.get_mut(upstream) else {
             return;
@@ -195,7 +200,7 @@
         }
     }
 
-    /// Hands out what there is now, in the order of the questions.
+    /// Grants the available permits in the order of the requests.
     pub fn grant(&mut self, now: Timestamp) -> Vec<Granted> {
         self.limits
             .retain(|_, owned| now.since(owned.used_at) < FORGET_AFTER);
@@ -206,13 +211,15 @@
         granted
     }
 
-    /// What is known of an upstream's limit, for a daemon that asks on a limit that has ended.
+    /// The known state of an upstream's limit, for a daemon that asks for permits of a limit that
+    /// has ended.
     pub fn report(&self, now: Timestamp, upstream: &UpstreamId) -> Option<LimitReport> {
         let owned = self.limits.get(upstream)?;
         Some(owned.report(now, upstream))
     }
 
-    /// What all daemons should be told: limits that began or ended.
+    /// Returns the limits that started or ended since the last broadcast and are due for another
+    /// one.
     pub fn news(&mut self, now: Timestamp) -> Vec<LimitReport> {
         let mut news = Vec::new();
         for (upstream, owned) in &mut self.limits {
--- a/shalehinge/src/core/routable_hosts.rs
+++ b/shalehinge/src/core/routable_hosts.rs
@@ -1,9 +1,9 @@
-//! The part of the host list that routing needs, and how it changed lately.
+//! The part of the host list that routing needs, and its recent changes.
 //!
-//! A list of hundreds of hosts changes many times a second while groups form, but
-//! requests go only to instances of plain services and to the rank 0 of open groups.
-//! Daemons that don't read the list themselves hear of these alone, and of what changed
-//! since they last asked.
+//! A list of hundreds of hosts changes many times a second while groups form, but requests only
+//! go to instances of plain services and to rank 0 of open groups. Daemons that don't read the
+//! list from the platform receive only these hosts, and only the changes since their last
+//! request.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,20 +12,20 @@
 use super::objects::{HostChanges, HostList, HostRecord};
 use super::types::{HostId, Version};
 
-/// Changes that are remembered. Some ten seconds of changes of a large fleet; who
-/// asks later is told the whole part.
+/// Maximum number of logged changes: about ten seconds of changes in a large fleet. Peers that
+/// ask later receive the whole routable part.
 const MOST_REMEMBERED: usize = 128;
 
-/// Changes of the part of the list that routing needs.
+/// Changes to the routable part of the host list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutableChanges {
-    /// The version that they follow, or one before it.
+    /// The version that the changes start from. They also apply to a later version.
     pub after: Version,
-    /// What changed.
+    /// The changed and removed hosts.
     pub changes: HostChanges,
 }
 
-/// What routing needs of a host; `None` if no request goes to it.
+/// The part of a record that routing needs; `None` if no request is routed to the host.
 fn routable(record: &HostRecord) -> Option<HostRecord> {
     let is_instance = record.status.is_none();
     let is_needed = is_instance || record.open_group().is_some();
@@ -35,7 +35,7 @@
     })
 }
 
-/// The hosts of a list that routing needs.
+/// Returns the hosts of a list that requests are routed to.
 pub fn routable_hosts(list: &HostList) -> HostList {
     let hosts = list.hosts.iter();
     let needed = hosts.filter_map(|(id, record)| Some((id.clone(), routable(record)?)));
@@ -44,7 +44,7 @@
     }
 }
 
-/// What changed for routing between two lists.
+/// Returns the changes to the routable part between two lists.
 pub fn difference(old: &HostList, new: &HostList) -> HostChanges {
     let (old, new) = (routable_hosts(old).hosts, routable_hosts(new).hosts);
     let removed = old.keys().filter(|id| !new.contains_key(id));
@@ -57,7 +57,7 @@
     }
 }
 
-/// What a change of a list changes for routing.
+/// Returns the effect of changes to a list on its routable part.
 pub fn of_changes(known: &HostList, changes: &HostChanges) -> HostChanges {
     let was = |id: &HostId| known.hosts.get(id).and_then(routable);
     let mut of_routing = HostChanges::default();
@@ -78,22 +78,23 @@
     of_routing
 }
 
-/// The latest changes, each at its version.
+/// The latest changes, each with the version that it led to.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
-    /// All changes after this version are remembered.
+    /// The log contains all changes after this version.
     complete_after: Version,
     changes: VecDeque<(Version, HostChanges)>,
 }
 
 impl ChangeLog {
-    /// Nothing is remembered of what was before this version.
+    /// Clears the log; it is complete from this version on.
     pub fn restart(&mut self, version: Version) {
         self.complete_after = version;
         self.changes.clear();
     }
 
-    /// Remembers what changed up to a version.
+    /// Appends the changes that led to a version; empty changes are not logged. The oldest
+    /// changes are dropped beyond the maximum length of the log.
     pub fn push(&mut self, version: Version, changes: HostChanges) {
         if changes.changed.is_empty() && changes.removed.is_empty() {
             return;
@@ -106,7 +107,7 @@
         }
     }
 
-    /// All changes after a version in one, if they are remembered.
+    /// Merges all changes after a version; `None` if the log does not reach back that far.
     pub fn since(&self, version: Version) -> Option<RoutableChanges> {
         if version < self.complete_after {
             return None;
--- a/shalehinge/src/core/trials.rs
+++ b/shalehinge/src/core/trials.rs
@@ -1,10 +1,10 @@
-//! Trials of requests that may crash the upstreams that run them.
+//! Trial executions of requests that may crash their upstreams.
 //!
-//! Two crashes that several requests had in common name none of them. Each is tried alone, at an
-//! upstream where no other such request is tried: if the upstream crashes then, the request is
-//! proven to do it, and a whole answer clears it. One daemon of the fleet, the owner of a
-//! target's trials, hands them out: daemons that each tried by themselves would end one upstream
-//! each.
+//! If several requests were running at two crashes, none of them is proven to be the cause. Each
+//! is tried alone, at an upstream where no other such request is being tried: a crash during the
+//! trial proves the request to be the cause, and a complete answer clears it. One daemon of the
+//! fleet, the owner of a target's trials, grants them, as daemons that tried independently would
+//! crash one upstream each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,45 +15,47 @@
 use super::router::request::{Target, UpstreamId};
 use super::types::Timestamp;
 
-/// A trial of which nothing is heard is over after so long.
+/// A trial without a reported result ends after this time.
 const TRIAL_TIME: Duration = Duration::from_secs(5);
-/// Trials under way; further ones wait.
+/// Maximum number of concurrent trials; further requests wait.
 const MOST_TRIALS: usize = 1_024;
 
-/// A daemon asks for a trial of a request that it holds.
+/// A daemon's request to try a request that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRequest {
-    /// What the request asks.
+    /// Fingerprint of the request's content.
     pub fingerprint: Fingerprint,
-    /// What it is for.
+    /// Target of the request.
     pub target: Target,
-    /// Upstreams that could run it, the preferred ones first.
+    /// Upstreams that could execute the request, in order of preference.
     pub candidates: Vec<UpstreamId>,
 }
 
-/// A request may be tried at this upstream, once.
+/// Permission to try a request once at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialGrant {
-    /// What the request asks.
+    /// Fingerprint of the request's content.
     pub fingerprint: Fingerprint,
-    /// Where.
+    /// The upstream to try it at.
     pub upstream: UpstreamId,
 }
 
 #[derive(Clone, Debug)]
+/// A trial in progress.
 struct Trial {
     upstream: UpstreamId,
     granted_at: Timestamp,
 }
 
-/// The trials that one daemon hands out.
+/// The trials granted by one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct TrialOwner {
     trials: BTreeMap<Fingerprint, Trial>,
 }
 
 impl TrialOwner {
-    /// Decides on a question: one trial at a time for a request, and at an upstream.
+    /// Grants a trial if the request is not being tried and a candidate is free. At most one
+    /// trial runs per request and per upstream at a time.
     pub fn ask(&mut self, now: Timestamp, request: &TrialRequest) -> Option<TrialGrant> {
         self.trials
             .retain(|_, trial| now.since(trial.granted_at) < TRIAL_TIME);
@@ -77,7 +79,7 @@
         })
     }
 
-    /// A request was cleared, or proven to crash upstreams: its trial is over.
+    /// Ends the trial of a request that was cleared, or proven to crash upstreams.
     pub fn end(&mut self, fingerprint: Fingerprint) {
         self.trials.remove(&fingerprint);
     }
--- a/shalehinge/src/core/whole_fetch.rs
+++ b/shalehinge/src/core/whole_fetch.rs
@@ -1,39 +1,41 @@
-//! Whom a daemon asks for objects that are told whole.
+//! Chooses the peer from which a daemon fetches objects that are sent in full.
 //!
-//! Any answer of a peer tells which versions are in force there, but only this question is
-//! answered with objects that may be large. It has one peer at a time: answers of several would
-//! share the link, and where each takes longer than its limit none would ever be whole.
+//! Every answer of a peer states the versions in force there, but only this fetch is answered
+//! with objects, which may be large. One fetch runs at a time: several answers would share the
+//! link, and if each then took longer than its time limit, none would ever complete.
 //!
-//! Peers of the own failure domain go first, as bytes between failure domains are paid for.
+//! Peers in the own failure domain are preferred, as traffic between failure domains is charged.
 
 use std::time::Duration;
 
 use super::types::{Address, Timestamp};
 
-/// How long the own failure domain has to tell of something that others told of. Its
-/// readers take some 300 ms to read 0.5 MB from the platform over a link of 20 Mbit/s.
+/// How long to wait for a peer in the own failure domain after a remote peer reported a newer
+/// version. A daemon that reads from the platform takes about 300 ms to read 0.5 MB over a link
+/// of 20 Mbit/s.
 const NEAR_FIRST: Duration = Duration::from_millis(400);
 
 /// Whether a peer is in the own failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// In the own failure domain, or nothing is known here yet.
+    /// In the own failure domain, or this daemon has no objects yet.
     Near,
-    /// In another one.
+    /// In another failure domain.
     Far,
 }
 
-/// The question for whole objects of one daemon.
+/// The state of one daemon's fetch of objects.
 #[derive(Clone, Debug, Default)]
 pub struct WholeFetch {
     is_open: bool,
+    /// The peer in the own failure domain that last reported a newer version.
     near: Option<Address>,
-    /// A peer of another failure domain, and when the first of these told of something newer.
+    /// The remote peer that last reported a newer version, and when the first of them did.
     far: Option<(Address, Timestamp)>,
 }
 
 impl WholeFetch {
-    /// A peer told of a newer version.
+    /// Records that a peer has a newer version.
     pub fn hear(&mut self, now: Timestamp, from: Address, distance: Distance) {
         match distance {
             Distance::Near => self.near = Some(from),
@@ -44,7 +46,8 @@
         }
     }
 
-    /// The peer to ask now, if no question is open: whoever told last of something newer.
+    /// Starts a fetch if none is running, and returns the peer to fetch from: the last one that
+    /// reported a newer version, with preference for the own failure domain.
     pub fn begin(&mut self, now: Timestamp) -> Option<Address> {
         if self.is_open {
             return None;
@@ -59,7 +62,7 @@
         Some(from)
     }
 
-    /// The question was answered or given up.
+    /// Records that the fetch was answered or given up.
     pub fn end(&mut self) {
         self.is_open = false;
     }
--- a/shalehinge/tests/claims.rs
+++ b/shalehinge/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of keys: given these answers of the platform, expect that result.
+//! Key claims at one daemon against simulated platform answers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const KEY: KeyHash = KeyHash(1);
 const WALL: u64 = 1_000_000;
 
-/// A book with one partition, and the time.
+/// A claim table with one partition, and the current time.
 struct Book {
     book: ClaimBook,
     now: Timestamp,
@@ -38,12 +38,12 @@
         self.book.poll(self.now, WALL)
     }
 
-    /// The write that comes next; it must be one.
+    /// Returns the value of the next step, which must be a write.
     fn write(&mut self) -> ClaimPartition {
         let (steps, _) = self.poll_after(Duration::from_millis(100));
         match steps.into_iter().next() {
             Some(ClaimStep::Write { value, .. }) => value,
-            other => panic!("no write: {other:?}"),
+            other => panic!("expected a write step, got {other:?}"),
         }
     }
 
@@ -139,13 +139,13 @@
     let mut book = Book::new();
     book.claim(7);
     book.read();
-    let mut old = partition(3, &[(8, ClaimState::Completed)]).expect("there");
+    let mut old = partition(3, &[(8, ClaimState::Completed)]).expect("claim is present");
     let day = 24 * 3_600;
     for claim in old.value.claims.values_mut() {
         claim.claimed_at = WALL - day - 1;
     }
     let other = KeyHash(2);
-    let claim = old.value.claims.remove(&KEY).expect("there");
+    let claim = old.value.claims.remove(&KEY).expect("claim is present");
     old.value.claims.insert(other, claim);
     book.book.on_read(0, Some(old));
     let written = book.write();
--- a/shalehinge/tests/demand.rs
+++ b/shalehinge/tests/demand.rs
@@ -1,4 +1,4 @@
-//! The work that callers ask of each model: counted, sent on, and turned into needs.
+//! Load per model: counting, exchange between daemons, and the replicas that it requires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// A daemon's counts after so many requests a second for ten seconds, each answered with
+/// A daemon's counts after ten seconds at `per_second` requests per second, each answered with
 /// thirty outputs.
 fn counted(per_second: u64, prompt_tokens: u32) -> Demand {
     let mut demand = Demand::default();
@@ -83,7 +83,10 @@
     assert!(sampled(8) < sampled(0) / 2.0);
     let rate = holder.of_fleet(heard_at + Duration::from_secs(8), 1);
     let requests = rate.per_second[&model(SMALL)].requests;
-    assert!(about(requests, 20.0), "the rate itself stays: {requests}");
+    assert!(
+        about(requests, 20.0),
+        "the rate must not decay with its weight: {requests}"
+    );
     let later = heard_at + Duration::from_secs(30);
     holder.merge(later, &daemon(0), Vec::new());
     assert_eq!(holder.of_fleet(later, 1), FleetWork::default());
@@ -155,13 +158,13 @@
 fn a_replica_is_busy_reading_prompts_and_bringing_output() {
     let work = FleetWork {
         per_second: BTreeMap::from([
-            // Half a second of reading, and 2,500 tokens at 0.2 ms.
+            // Half a second of prompt processing, and 2,500 output tokens at 0.2 ms each.
             (model(LARGE), work(100.0, 25_000.0, 500.0)),
             (model(SMALL), work(100.0, 25_000.0, 500.0)),
         ]),
         sampled_requests: 1_000.0,
     };
-    let needs = needs_of(&profiles(), &work).expect("enough was seen");
+    let needs = needs_of(&profiles(), &work).expect("sample is large enough");
     assert!(about(needs[&model(LARGE)], 1.0), "{needs:?}");
     assert!(about(needs[&model(SMALL)], 0.5), "{needs:?}");
 }
@@ -174,7 +177,7 @@
     };
     assert_eq!(needs_of(&profiles(), &seen), None);
     seen.sampled_requests = 500.0;
-    let needs = needs_of(&profiles(), &seen).expect("enough was seen");
+    let needs = needs_of(&profiles(), &seen).expect("sample is large enough");
     assert!(needs[&model(LARGE)] > 0.0);
 }
 
@@ -191,7 +194,10 @@
         ]),
         sampled_requests: 500.0,
     };
-    let needs = needs_of(&profiles, &work).expect("enough was seen");
+    let needs = needs_of(&profiles, &work).expect("sample is large enough");
     let ratio = needs[&model(SMALL)] / needs[&model(LARGE)];
-    assert!(about(ratio, 2.0), "four times the tokens at half the pace");
+    assert!(
+        about(ratio, 2.0),
+        "four times the tokens at half the pace give twice the need, got {ratio}"
+    );
 }
--- a/shalehinge/tests/focused.rs
+++ b/shalehinge/tests/focused.rs
@@ -1,4 +1,5 @@
-//! Focused scenarios over whole cores: one failure each, and what must follow.
+//! Scenarios with complete daemon cores in a simulated fleet: each injects one failure and checks
+//! its consequences.
 
 mod support;
 
@@ -49,7 +50,7 @@
     world.kill(0);
     world.start(0);
     world.run_for(seconds(15));
-    let core = world.entries[0].core.as_ref().expect("runs");
+    let core = world.entries[0].core.as_ref().expect("daemon is running");
     assert_eq!(core.state().digest().fleet.stored.number, 1);
     assert!(world.entries[0].sees(4, world.now));
     assert_nothing_violated(&world);
@@ -60,7 +61,7 @@
     let mut world = World::serving(2);
     world.platform.fault = Fault::Down;
     world.run_for(seconds(60));
-    let request = world.request(0, 3, 0).expect("runs");
+    let request = world.request(0, 3, 0).expect("daemon is running");
     world.run_for(seconds(16));
     let facts = &world.oracle.requests[&request];
     assert_eq!(facts.outcome, Some(Outcome::Completed));
@@ -71,7 +72,7 @@
 fn a_keyed_request_is_refused_as_not_run_while_the_platform_is_away() {
     let mut world = World::serving(3);
     world.platform.fault = Fault::Down;
-    let request = world.request(0, 0, 0).expect("runs");
+    let request = world.request(0, 0, 0).expect("daemon is running");
     world.run_for(seconds(5));
     let facts = &world.oracle.requests[&request];
     assert!(matches!(facts.outcome, Some(Outcome::NotRun { .. })));
@@ -81,12 +82,12 @@
 #[test]
 fn a_key_sent_again_through_another_daemon_after_the_first_died_does_not_run_again() {
     let mut world = World::serving(4);
-    let first = world.request(0, 0, 5).expect("runs");
-    world.run_until("the first runs", |world| {
+    let first = world.request(0, 0, 5).expect("daemon is running");
+    world.run_until("the first request runs", |world| {
         world.oracle.requests[&first].executions == 1
     });
     world.kill(0);
-    let second = world.request(3, 0, 5).expect("runs");
+    let second = world.request(3, 0, 5).expect("daemon is running");
     world.run_for(seconds(5));
     let facts = &world.oracle.requests[&second];
     assert!(matches!(facts.outcome, Some(Outcome::Unknown { .. })));
@@ -97,10 +98,10 @@
 #[test]
 fn a_frozen_holder_that_wakes_gives_no_orders_and_the_successor_does() {
     let mut world = World::serving(5);
-    let holder = holder_of(&world, 0).expect("held");
+    let holder = holder_of(&world, 0).expect("lease is held");
     world.freeze(holder);
     world.run_for(seconds(20));
-    let successor = holder_of(&world, 0).expect("held again");
+    let successor = holder_of(&world, 0).expect("lease is held again");
     assert_ne!(successor, holder);
     world.wake(holder);
     world.run_for(seconds(5));
@@ -111,14 +112,14 @@
 #[test]
 fn a_lost_member_takes_its_replica_out_and_a_spare_takes_its_place() {
     let mut world = World::serving(6);
-    // Hosts 0 to 3 of a domain form two groups, host 4 is spare.
+    // Hosts 0 to 3 of a domain form two groups; host 4 is a spare.
     world.kill_host(1);
     let killed_at = world.now;
-    world.run_until("the replica is out", |world| {
+    world.run_until("the replica is removed from routing", |world| {
         world.entries.iter().all(|entry| !entry.sees(4, world.now))
     });
     assert!(world.now - killed_at < seconds(3));
-    world.run_until("it is formed again", |world| {
+    world.run_until("the replica is formed again", |world| {
         world.serving_groups() == 4 && world.entries.iter().all(|e| e.sees(4, world.now))
     });
     let time = world.now - killed_at;
@@ -134,7 +135,7 @@
     world.platform_cut.insert(domain);
     world.run_for(seconds(30));
     for entry in 0..world.entries.len() {
-        let request = world.request(entry, 3, 0).expect("runs");
+        let request = world.request(entry, 3, 0).expect("daemon is running");
         world.run_for(seconds(16));
         let facts = &world.oracle.requests[&request];
         assert_eq!(facts.outcome, Some(Outcome::Completed), "entry {entry}");
@@ -159,9 +160,9 @@
 #[test]
 fn a_planned_stop_hands_control_over_at_once() {
     let mut world = World::serving(8);
-    let holder = holder_of(&world, 0).expect("held");
+    let holder = holder_of(&world, 0).expect("lease is held");
     world.stop(holder);
-    world.run_until("another holds", |world| {
+    world.run_until("another daemon holds the lease", |world| {
         holder_of(world, 0).is_some_and(|other| other != holder)
     });
     let calm_since = world.oracle.calm_since;
@@ -169,7 +170,7 @@
     assert_nothing_violated(&world);
 }
 
-/// Prints how long a failure domain is without a holder; for docs/CAPACITY.md.
+/// Prints how long a failure domain is without a holder, for docs/CAPACITY.md.
 #[test]
 #[ignore = "a measurement; run by hand with --ignored --nocapture"]
 fn measure_time_from_a_holders_death_to_its_successor() {
@@ -178,11 +179,11 @@
     for seed in 0..40 {
         let mut world = World::serving(seed);
         world.run_for(seconds(5));
-        let holder = holder_of(&world, 0).expect("held");
+        let holder = holder_of(&world, 0).expect("lease is held");
         let before = (world.platform.reads, world.platform.writes);
         world.kill(holder);
         let killed_at = world.now;
-        world.run_until("held again", |world| holder_of(world, 0).is_some());
+        world.run_until("lease is held again", |world| holder_of(world, 0).is_some());
         times.push(world.now - killed_at);
         let after = (world.platform.reads, world.platform.writes);
         calls.push((after.0 - before.0, after.1 - before.1));
@@ -194,7 +195,7 @@
         times[0], times[20], times[39]
     );
     println!(
-        "platform reads and writes of both domains meanwhile, median {:?}",
+        "platform reads and writes of both domains during the outage, median {:?}",
         calls[20]
     );
 }
--- a/shalehinge/tests/lease.rs
+++ b/shalehinge/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The control lease at one candidate, as it reads answers that may be old.
+//! The control lease at one candidate whose reads may be stale.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// The lease of another daemon at a version.
+/// The lease as held by another daemon, at this version.
 fn held_by_other(version: u64) -> Option<Versioned<LeaseRecord>> {
     Some(Versioned {
         version: Version::without_era(version),
@@ -68,7 +68,7 @@
     step(&mut lease, 1_400);
     lease.on_read(at(1_410), held_by_other(5));
     step(&mut lease, 4_200);
-    // The platform had version 6 by then.
+    // The holder's renewal to version 6 was not visible in the stale answers.
     lease.on_conflict(at(4_210));
     assert_eq!(lease.held(at(4_220)), None);
     let again = step(&mut lease, 4_220);
@@ -102,7 +102,7 @@
     assert!(matches!(early, Some(LeaseStep::Read(_))), "{early:?}");
     lease.on_foreign(at(4_210), Version::without_era(6));
     let Some(LeaseStep::Write { expect, record }) = step(&mut lease, 5_600) else {
-        panic!("a term has passed since it was overwritten");
+        panic!("expected a write a full term after the record was overwritten");
     };
     assert_eq!((expect, record.epoch), (Version::without_era(6), Epoch(4)));
 }
@@ -119,7 +119,7 @@
     lease.note_epoch(Epoch(7));
     assert_eq!(lease.held(at(4_230)), None);
     let Some(LeaseStep::Write { expect, record }) = step(&mut lease, 4_240) else {
-        panic!("it is raised at once");
+        panic!("expected a write that raises the epoch at once");
     };
     assert_eq!((expect, record.epoch), (Version::without_era(7), Epoch(8)));
     lease.on_written(at(4_250), Version::without_era(8));
--- a/shalehinge/tests/membership.rs
+++ b/shalehinge/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What daemons know of each other by gossip.
+//! Membership of daemons by gossip.
 
 use std::time::Duration;
 
@@ -28,10 +28,10 @@
     }
 }
 
-/// A message that tells of these members; the last one sent it.
+/// A message with the heartbeats of these members; the last one is the sender.
 fn gossip(mut members: Vec<Heartbeat>) -> Gossip {
     Gossip {
-        sender: members.pop().expect("a sender"),
+        sender: members.pop().expect("at least one member"),
         members,
         brief: Vec::new(),
     }
@@ -74,7 +74,7 @@
     assert_eq!(membership.holder_addresses(later, &domain), []);
 }
 
-/// Daemons that pull from each other once a second, in lock step.
+/// Simulated daemons that each pull from one peer per second, in lock step.
 struct Fleet {
     members: Vec<Membership>,
     rng: SmallRng,
@@ -82,7 +82,8 @@
 }
 
 impl Fleet {
-    /// So many daemons, dealt to the failure domains in turn; the first three are seeds.
+    /// Creates daemons that are assigned to the failure domains in turn; the first three are
+    /// seeds.
     fn new(daemons: u16, domains: u16) -> Self {
         let seeds: Vec<Address> = (0..3).map(address).collect();
         let member = |port: u16| {
@@ -151,7 +152,7 @@
         .iter()
         .map(|member| 1.0 / member.fleet_size(now) as f64);
     let handed_out: f64 = parts.sum();
-    assert!(handed_out <= 1.001, "{handed_out}");
+    assert!(handed_out <= 1.001, "shares add up to {handed_out}");
 }
 
 #[test]
@@ -162,7 +163,11 @@
         fleet.run(20);
         let now = fleet.now();
         let message = fleet.members[5].gossip(now, None, &mut fleet.rng);
-        bytes.push(rmp_serde::to_vec(&message).expect("encodes").len());
+        bytes.push(
+            rmp_serde::to_vec(&message)
+                .expect("gossip is encoded")
+                .len(),
+        );
     }
     assert!(bytes[1] < bytes[0] * 5 / 4, "{bytes:?}");
 }
--- a/shalehinge/tests/permits.rs
+++ b/shalehinge/tests/permits.rs
@@ -1,4 +1,5 @@
-//! The owner of a limit: what it learns, whom it grants permits, what it tells all.
+//! The owner of a limit: the reports that it accepts, the permits that it grants and the changes
+//! that it broadcasts.
 
 use std::time::Duration;
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// An owner that learned of a limit at 10 s.
+/// An owner that received a limit at 10 s.
 fn owner(rate: f64) -> PermitOwner {
     let mut owner = PermitOwner::default();
     owner.learn(at(10.0), at(10.0), &report(Some(rate)));
@@ -68,7 +69,7 @@
     for port in [7, 3, 5] {
         assert!(ask(&mut owner, 10.0, port, 1).is_empty());
     }
-    // A question that is repeated keeps its turn.
+    // A repeated request keeps its place in the queue.
     assert!(ask(&mut owner, 10.1, 7, 1).is_empty());
     let first = owner.grant(at(10.55));
     assert_eq!(first[0].daemon, daemon(7));
@@ -91,7 +92,7 @@
     assert_eq!(count(&ask(&mut owner, 13.0, 1, 64)), 0);
     let told = owner.report(at(13.0), &upstream());
     assert_eq!(told.map(|report| report.rate), Some(None));
-    // A daemon that missed it still tells of the limit as it was.
+    // A daemon that has not heard of the end still reports the former limit.
     owner.learn(at(13.0), at(11.5), &report(Some(100.0)));
     assert_eq!(count(&ask(&mut owner, 14.0, 1, 64)), 0);
 }
@@ -107,7 +108,7 @@
         owner.learn(at(now), at(now), &report(rate));
         told += owner.news(at(now)).len();
     }
-    assert!(told <= 5, "{told} times in 5 s");
+    assert!(told <= 5, "{told} broadcasts in 5 s");
 }
 
 #[test]
--- a/shalehinge/tests/routable.rs
+++ b/shalehinge/tests/routable.rs
@@ -1,5 +1,5 @@
-//! A daemon that hears of hosts from peers knows of each what routing needs, whatever it
-//! missed, as a list kept beside shows.
+//! Daemons that receive the host list from peers end up with exactly its routable part, whichever
+//! updates they missed. The expected list is tracked alongside.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
     HostId::new(&format!("h{number}"))
 }
 
-/// A host in any state: an instance of a plain service, or a member of some group.
+/// A host in a random state: an instance of a plain service, or a member of a random group.
 fn any_record(number: u16, rng: &mut StdRng) -> HostRecord {
     let phase = PHASES[rng.random_range(0..PHASES.len())];
     let status = EngineStatus {
@@ -69,7 +69,8 @@
     }
 }
 
-/// One daemon that reads, one that asks it, and one that asks that one.
+/// A daemon that reads the list, a second one that asks the first, and a third one that asks the
+/// second.
 struct Chain {
     rng: StdRng,
     version: u64,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The reader stops reading, hears nothing for a while, and lists anew.
+    /// The reading daemon stops reading, misses updates, and lists again.
     fn stop_and_list(&mut self) {
         self.states[0].forget_other_hosts();
         self.version += 1;
@@ -133,7 +134,7 @@
         let hosts = self.hosts.clone();
         let expected = routable_hosts(&HostList { hosts });
         for state in &self.states[1..] {
-            let known = state.hosts().expect("known");
+            let known = state.hosts().expect("host list is known");
             assert_eq!(
                 (known.version.number, &known.value),
                 (self.version, &expected)
@@ -173,7 +174,7 @@
     for number in 0..HOSTS {
         chain.change_host(number);
     }
-    // Only one host changes again, so that the others' changes are no longer remembered.
+    // Only one host changes from here on, so that the changes of the others drop out of the log.
     for _ in 0..1_000 {
         chain.change_host(0);
     }
