--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -51,20 +51,20 @@
     ),
     "a-holder-stops-in-a-new-era": (
         CORE + "lease.rs",
-        "        self.held_epoch = None;\n        self.observation = None;\n        self.pending = None;\n        self.first_read",
-        "        self.observation = None;\n        self.pending = None;\n        self.first_read",
+        "        self.held_epoch = None;\n        self.observation = None;\n        self.pending = None;\n        self.next_read_freshness",
+        "        self.observation = None;\n        self.pending = None;\n        self.next_read_freshness",
         "store_era", "stops",
     ),
     "a-lease-given-back-in-a-copy-waits": (
         CORE + "lease.rs",
-        "if lapsed || lease.value.released && is_unheld_for_sure {",
-        "if lapsed || lease.value.released {",
+        "if is_expired || lease.value.released && is_certainly_unheld {",
+        "if is_expired || lease.value.released {",
         "store_era", "given_back",
     ),
     "a-lease-missing-in-a-copy-waits": (
         CORE + "lease.rs",
-        "if !is_unheld_for_sure {",
-        "if !is_unheld_for_sure && self.in_flight && false {",
+        "if !is_certainly_unheld {",
+        "if !is_certainly_unheld && self.in_flight && false {",
         "store_era", "missing",
     ),
     "tokens-rise-over-eras": (
@@ -81,19 +81,19 @@
     ),
     "what-the-new-era-tells-of-a-host-counts": (
         CORE + "earlier_hosts.rs",
-        "            self.listed.remove(host);\n",
+        "            self.former_records.remove(host);\n",
         "",
         "store_era", "reported_anew",
     ),
     "claims-are-written-again": (
         CORE + "claims.rs",
-        "                self.partition_of(key).waiting.push(rewrite);",
+        "                self.partition_of(key).queued.push(rewrite);",
         "                let _ = rewrite;",
         "store_era", "claim",
     ),
     "no-key-is-granted-at-once-in-a-new-era": (
         CORE + "claims.rs",
-        "let may_grant = now >= self.grants_from;",
+        "let may_grant = now >= self.no_grants_before;",
         "let may_grant = true;",
         "store_era", "claim",
     ),
@@ -177,7 +177,7 @@
     ),
     "one-owner-hands-out-permits": (
         CORE + "daemon/limits.rs",
-        "            if self.owner_of(now, &request.known) == Owner::Me {",
+        "            if self.owner_of(now, &request.known) == Owner::ThisDaemon {",
         "            if self.owner_of(now, &request.known) != self.owner_of(now, &request.known) || true {",
         "limited_upstreams", "from_340_daemons",
     ),
@@ -185,18 +185,18 @@
         CORE + "permits.rs",
         "            tokens: 0.0,",
         "            tokens: 100.0,",
-        "permits", "begins_with_nothing",
+        "permits", "starts_without_permits",
     ),
     "little-is-saved-up": (
         CORE + "permits.rs",
-        ".min(at_once(rate));",
+        ".min(burst_size(rate));",
         ".min(1_000.0);",
         "limited_upstreams", "few_requests_come_late",
     ),
     "a-limit-of-nothing-can-end": (
         CORE + "permits.rs",
-        "const LEAST_RATE: f64 = 0.25;",
-        "const LEAST_RATE: f64 = 0.0;",
+        "const MIN_RATE: f64 = 0.25;",
+        "const MIN_RATE: f64 = 0.0;",
         "limited_upstreams", "its_share_again",
     ),
     "whoever-asks-last-keeps-its-turn": (
@@ -317,7 +317,7 @@
         CORE + "lease.rs",
         "            epoch: self.highest_epoch,\n            term_ms: self.settings.term.as_millis() as u64,",
         "            epoch: self.highest_epoch,\n            term_ms: 0,",
-        "lease", "another_writer",
+        "lease", "overwritten_lease",
     ),
     "raised-above-what-is-stored": (
         CORE + "lease.rs",
@@ -375,22 +375,22 @@
         "ordered", "few_hosts_answer",
     ),
     "near-peers-first": (
-        CORE + "whole_fetch.rs",
-        "now.since(*since) >= NEAR_FIRST",
+        CORE + "object_fetch.rs",
+        "now.since(*since) >= LOCAL_WAIT",
         "now >= *since",
         "superseded", "own_failure_domain",
     ),
     "one-peer-for-whole-objects": (
-        CORE + "whole_fetch.rs",
-        "if self.is_open {",
-        "if false && self.is_open {",
+        CORE + "object_fetch.rs",
+        "if self.is_running {",
+        "if false && self.is_running {",
         "superseded", "one_peer_at_a_time",
     ),
     "whole-objects-only-when-asked": (
         CORE + "daemon/peers.rs",
         "PullTopic::All | PullTopic::Objects => hosts.into_iter().collect(),",
         "PullTopic::All | PullTopic::Objects => {\n"
-        "    let mut updates = self.state.whole_objects_after(known);\n"
+        "    let mut updates = self.state.full_objects_after(known);\n"
         "    updates.extend(hosts);\n    updates\n}",
         "configuration_spread", "catches_up",
     ),
@@ -422,25 +422,25 @@
         CORE + "lease.rs",
         "if self.is_older(lease.as_ref()) {",
         "if false && self.is_older(lease.as_ref()) {",
-        "lease", "does_not_put_off",
+        "lease", "does_not_delay",
     ),
     "exact-after-a-conflict": (
         CORE + "lease.rs",
-        "        self.observation = None;\n        self.first_read = Freshness::Exact;\n    }\n\n    /// Handles a failed call",
-        "        self.observation = None;\n        self.first_read = Freshness::MayBeStale;\n    }\n\n    /// Handles a failed call",
-        "lease", "renewed_unseen",
+        "        self.observation = None;\n        self.next_read_freshness = Freshness::Exact;\n    }\n\n    /// Handles a failed call",
+        "        self.observation = None;\n        self.next_read_freshness = Freshness::MayBeStale;\n    }\n\n    /// Handles a failed call",
+        "lease", "unseen_renewal",
     ),
     "changes-that-are-forgotten": (
         CORE + "routable_hosts.rs",
         "if version < self.complete_after {",
         "if false && version < self.complete_after {",
-        "routable", "more_changes_than_are_remembered",
+        "routable", "more_changes_than_the_log",
     ),
     "gone-from-routing-is-told": (
         CORE + "routable_hosts.rs",
-        "None if was.is_some() => {",
-        "None if false && was.is_some() => {",
-        "routable", "adds_up",
+        "None if before.is_some() => {",
+        "None if false && before.is_some() => {",
+        "routable", "add_up",
     ),
     "few-read-the-list": (
         CORE + "daemon/configuration.rs",
@@ -537,8 +537,8 @@
     ),
     "claim": (
         CORE + "claims.rs",
-        "if value.claims.contains_key(&key) {\n                return Applied::Taken;",
-        "if false {\n                return Applied::Taken;",
+        "if value.claims.contains_key(&key) {\n                return ApplyOutcome::KeyTaken;",
+        "if false {\n                return ApplyOutcome::KeyTaken;",
         "always", "fixed",
     ),
     "claim-read-back": (
@@ -587,7 +587,7 @@
         CORE + "daemon/peers.rs",
         "updates: self.updates_for(pull.topic, &pull.digest),",
         "updates: Vec::new(),",
-        "focused", "peers_hold",
+        "focused", "from_its_peers",
     ),
     "suspects-told": (
         CORE + "daemon/mod.rs",
@@ -603,14 +603,14 @@
     ),
     "successor-waits": (
         CORE + "lease.rs",
-        "let lapsed = now.since(observation.changed_at) >= term;",
-        "let lapsed = true;",
+        "let is_expired = now.since(observation.changed_at) >= term;",
+        "let is_expired = true;",
         "always", "fixed",
     ),
     "holder-counts-from-sending": (
         CORE + "lease.rs",
-        "self.hold(pending.record.epoch, pending.sent_at);\n        let lease",
-        "self.hold(pending.record.epoch, now + std::time::Duration::from_secs(4));\n        let lease",
+        "self.record_held(pending.record.epoch, pending.sent_at);\n        let lease",
+        "self.record_held(pending.record.epoch, now + std::time::Duration::from_secs(4));\n        let lease",
         "always", "fixed",
     ),
     "unclear-confirm": (
@@ -738,7 +738,7 @@
         "listed_routing", "was_paused",
     ),
     "freshness": (
-        CORE + "feed.rs", "self.as_of = self.as_of.max(Some(question.at)),", "self.as_of = Some(now),",
+        CORE + "feed.rs", "self.as_of = self.as_of.max(Some(pending_call.called_at)),", "self.as_of = Some(now),",
         "learning", "as_fresh",
     ),
     "signature": (
--- a/shalehinge/src/core/claims.rs
+++ b/shalehinge/src/core/claims.rs
@@ -19,13 +19,13 @@
 
 /// How long a claim is kept in memory so that it can be written again after a restore. The backup
 /// that a store is restored from is a few seconds old.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+const REWRITE_WINDOW: Duration = Duration::from_secs(60);
 /// Upper bound on the claims kept in memory. A rate of a thousand claims a second over the whole
 /// time window would exceed it.
-const MOST_REMEMBERED: usize = 20_000;
+const MAX_RECENT_CLAIMS: usize = 20_000;
 /// How long no key is granted after the store was restored from a backup: the time that daemons
 /// in contact with the store need to detect the restore and to write their claims again.
-const REWRITE_WAIT: Duration = Duration::from_secs(3);
+const GRANT_PAUSE: Duration = Duration::from_secs(3);
 
 /// A platform call that the claims need.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,7 +65,7 @@
         request: RequestId,
         key: KeyHash,
         claimant: OperationId,
-        since: Timestamp,
+        queued_at: Timestamp,
     },
     /// Marks a claim as completed.
     Complete { key: KeyHash, claimant: OperationId },
@@ -79,13 +79,13 @@
 /// The state of one partition at this daemon.
 struct Partition {
     /// The partition as last read or written; `None` if it has to be read first.
-    known: Option<Versioned<ClaimPartition>>,
+    cached: Option<Versioned<ClaimPartition>>,
     /// Changes that are not part of a write yet.
-    waiting: Vec<Change>,
+    queued: Vec<Change>,
     /// Changes in the write in flight, or in one whose outcome is unknown.
-    written: Vec<Change>,
+    unacknowledged: Vec<Change>,
     /// The value of the write in flight.
-    pending: Option<ClaimPartition>,
+    pending_value: Option<ClaimPartition>,
     in_flight: bool,
     /// Earliest time of the next call.
     next_at: Timestamp,
@@ -93,23 +93,23 @@
 
 /// The key claims of one daemon.
 #[derive(Clone, Debug)]
-pub struct ClaimBook {
+pub struct ClaimTracker {
     settings: ClaimSettings,
     partitions: BTreeMap<u16, Partition>,
     /// Recent claims of this daemon with the time at which they were granted, oldest first.
-    remembered: VecDeque<(Timestamp, KeyHash, Claim)>,
+    recent_claims: VecDeque<(Timestamp, KeyHash, Claim)>,
     /// No key is granted before this time.
-    grants_from: Timestamp,
+    no_grants_before: Timestamp,
 }
 
-impl ClaimBook {
+impl ClaimTracker {
     /// Creates a tracker without claims.
     pub fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
             partitions: BTreeMap::new(),
-            remembered: VecDeque::new(),
-            grants_from: Timestamp::ZERO,
+            recent_claims: VecDeque::new(),
+            no_grants_before: Timestamp::ZERO,
         }
     }
 
@@ -118,8 +118,8 @@
         self.partitions.entry(number).or_default()
     }
 
-    /// Starts to claim a key for a request. [`ClaimBook::poll`], [`ClaimBook::on_read`] or
-    /// [`ClaimBook::on_written`] later returns the result.
+    /// Starts to claim a key for a request. [`ClaimTracker::poll`], [`ClaimTracker::on_read`] or
+    /// [`ClaimTracker::on_written`] later returns the result.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -127,65 +127,74 @@
         key: KeyHash,
         claimant: OperationId,
     ) {
-        self.partition_of(key).waiting.push(Change::Claim {
+        self.partition_of(key).queued.push(Change::Claim {
             request,
             key,
             claimant,
-            since: now,
+            queued_at: now,
         });
     }
 
     /// Handles a restore of the store from a backup: stops granting keys for a few seconds,
     /// discards cached partitions and writes this daemon's recent claims again.
     pub fn on_new_era(&mut self, now: Timestamp) {
-        self.grants_from = now + REWRITE_WAIT;
+        self.no_grants_before = now + GRANT_PAUSE;
         for partition in self.partitions.values_mut() {
-            partition.known = None;
+            partition.cached = None;
         }
-        let remembered = std::mem::take(&mut self.remembered);
-        for (at, key, claim) in &remembered {
-            if now.since(*at) < REMEMBERED_FOR {
+        let recent_claims = std::mem::take(&mut self.recent_claims);
+        for (at, key, claim) in &recent_claims {
+            if now.since(*at) < REWRITE_WINDOW {
                 let (key, claim) = (*key, *claim);
                 let rewrite = Change::Rewrite { key, claim };
-                self.partition_of(key).waiting.push(rewrite);
+                self.partition_of(key).queued.push(rewrite);
             }
         }
-        self.remembered = remembered;
+        self.recent_claims = recent_claims;
     }
 
     /// Records a granted claim, so that it can be written again after a restore. `wall_seconds`
     /// is the Unix time in seconds.
-    pub fn remember(&mut self, now: Timestamp, wall_seconds: u64, key: KeyHash, id: OperationId) {
+    pub fn record_granted(
+        &mut self,
+        now: Timestamp,
+        wall_seconds: u64,
+        key: KeyHash,
+        id: OperationId,
+    ) {
         let claim = Claim {
             claimant: id,
             claimed_at: wall_seconds,
             state: ClaimState::Claimed,
         };
-        self.remembered.push_back((now, key, claim));
-        let is_over = |at: Timestamp| now.since(at) >= REMEMBERED_FOR;
-        while self.remembered.len() > MOST_REMEMBERED
-            || self.remembered.front().is_some_and(|(at, ..)| is_over(*at))
+        self.recent_claims.push_back((now, key, claim));
+        let is_expired = |at: Timestamp| now.since(at) >= REWRITE_WINDOW;
+        while self.recent_claims.len() > MAX_RECENT_CLAIMS
+            || self
+                .recent_claims
+                .front()
+                .is_some_and(|(at, ..)| is_expired(*at))
         {
-            self.remembered.pop_front();
+            self.recent_claims.pop_front();
         }
     }
 
     /// Marks the claim of a request that ran to completion.
     pub fn complete(&mut self, key: KeyHash, claimant: OperationId) {
-        let mut remembered = self.remembered.iter_mut();
-        if let Some((.., claim)) = remembered.find(|(.., claim)| claim.claimant == claimant) {
+        let mut recent_claims = self.recent_claims.iter_mut();
+        if let Some((.., claim)) = recent_claims.find(|(.., claim)| claim.claimant == claimant) {
             claim.state = ClaimState::Completed;
         }
         let change = Change::Complete { key, claimant };
-        self.partition_of(key).waiting.push(change);
+        self.partition_of(key).queued.push(change);
     }
 
     /// Removes the claim of a request that certainly did not run.
     pub fn withdraw(&mut self, key: KeyHash, claimant: OperationId) {
-        self.remembered
+        self.recent_claims
             .retain(|(.., claim)| claim.claimant != claimant);
         let change = Change::Withdraw { key, claimant };
-        self.partition_of(key).waiting.push(change);
+        self.partition_of(key).queued.push(change);
     }
 
     /// Returns the platform calls that are due, and results for claims that timed out or found
@@ -196,21 +205,21 @@
         wall_seconds: u64,
     ) -> (Vec<ClaimStep>, Vec<(RequestId, ClaimResult)>) {
         let settings = self.settings;
-        let may_grant = now >= self.grants_from;
+        let may_grant = now >= self.no_grants_before;
         let mut steps = Vec::new();
         let mut results = Vec::new();
         for (number, partition) in &mut self.partitions {
             partition.expire(now, &settings, &mut results);
-            if may_grant || partition.has_more_than_claims() {
-                let held_back = partition.hold_claims_back(may_grant);
+            if may_grant || partition.has_other_changes() {
+                let deferred = partition.defer_claims(may_grant);
                 let step = partition.step(*number, now, wall_seconds, &settings, &mut results);
-                partition.waiting.extend(held_back);
+                partition.queued.extend(deferred);
                 steps.extend(step);
             }
         }
         // Idle partitions are dropped to free their memory.
         self.partitions
-            .retain(|_, partition| partition.in_flight || !partition.is_settled());
+            .retain(|_, partition| partition.in_flight || !partition.is_idle());
         (steps, results)
     }
 
@@ -225,12 +234,12 @@
             return Vec::new();
         };
         partition.in_flight = false;
-        partition.pending = None;
-        partition.known = Some(value.unwrap_or_default());
+        partition.pending_value = None;
+        partition.cached = Some(value.unwrap_or_default());
         // The content just read decides the changes of a write whose outcome was unknown.
-        let written = std::mem::take(&mut partition.written);
-        partition.waiting.splice(0..0, written);
-        partition.decide()
+        let unacknowledged = std::mem::take(&mut partition.unacknowledged);
+        partition.queued.splice(0..0, unacknowledged);
+        partition.resolve_claims()
     }
 
     /// Handles a write that took effect. Returns the claims that it granted.
@@ -239,30 +248,33 @@
             return Vec::new();
         };
         partition.in_flight = false;
-        if let Some(value) = partition.pending.take() {
-            partition.known = Some(Versioned { version, value });
+        if let Some(value) = partition.pending_value.take() {
+            partition.cached = Some(Versioned { version, value });
         }
-        let written = std::mem::take(&mut partition.written);
+        let unacknowledged = std::mem::take(&mut partition.unacknowledged);
         // A claim that timed out during the write is now stored and has to be withdrawn.
-        let given_up = written
+        let withdrawals = unacknowledged
             .iter()
-            .filter(|change| partition.has_to_withdraw(change));
-        let given_up: Vec<Change> = given_up.copied().collect();
-        partition.waiting.extend(given_up);
-        written.into_iter().filter_map(granted).collect()
+            .filter(|change| partition.must_withdraw(change));
+        let withdrawals: Vec<Change> = withdrawals.copied().collect();
+        partition.queued.extend(withdrawals);
+        unacknowledged
+            .into_iter()
+            .filter_map(granted_result)
+            .collect()
     }
 
     /// Handles a refused write or a call without an answer: the partition is read before the next
     /// write.
-    pub fn on_unclear(&mut self, number: u16) {
+    pub fn on_call_failed(&mut self, number: u16) {
         if let Some(partition) = self.partitions.get_mut(&number) {
             partition.in_flight = false;
-            partition.known = None;
+            partition.cached = None;
         }
     }
 }
 
-fn granted(change: Change) -> Option<(RequestId, ClaimResult)> {
+fn granted_result(change: Change) -> Option<(RequestId, ClaimResult)> {
     match change {
         Change::Claim { request, .. } => Some((request, ClaimResult::Granted)),
         Change::Complete { .. } | Change::Withdraw { .. } | Change::Rewrite { .. } => None,
@@ -279,31 +291,31 @@
 }
 
 impl Partition {
-    fn is_settled(&self) -> bool {
-        self.waiting.is_empty() && self.written.is_empty()
+    fn is_idle(&self) -> bool {
+        self.queued.is_empty() && self.unacknowledged.is_empty()
     }
 
-    fn has_more_than_claims(&self) -> bool {
+    fn has_other_changes(&self) -> bool {
         let is_other = |change: &Change| !matches!(change, Change::Claim { .. });
-        self.waiting.iter().any(is_other) || !self.written.is_empty()
+        self.queued.iter().any(is_other) || !self.unacknowledged.is_empty()
     }
 
     /// Removes and returns the queued claims unless keys may be granted.
-    fn hold_claims_back(&mut self, may_grant: bool) -> Vec<Change> {
+    fn defer_claims(&mut self, may_grant: bool) -> Vec<Change> {
         if may_grant {
             return Vec::new();
         }
         let is_claim = |change: &mut Change| matches!(change, Change::Claim { .. });
-        self.waiting.extract_if(.., is_claim).collect()
+        self.queued.extract_if(.., is_claim).collect()
     }
 
     /// Whether the change withdraws a claim that is stored.
-    fn has_to_withdraw(&self, change: &Change) -> bool {
+    fn must_withdraw(&self, change: &Change) -> bool {
         let Change::Withdraw { key, claimant } = change else {
             return false;
         };
-        let known = self.known.as_ref();
-        let claim = known.and_then(|known| known.value.claims.get(key));
+        let cached = self.cached.as_ref();
+        let claim = cached.and_then(|cached| cached.value.claims.get(key));
         claim.is_some_and(|claim| claim.claimant == *claimant)
     }
 
@@ -314,18 +326,18 @@
         settings: &ClaimSettings,
         results: &mut Vec<(RequestId, ClaimResult)>,
     ) {
-        for changes in [&mut self.waiting, &mut self.written] {
+        for changes in [&mut self.queued, &mut self.unacknowledged] {
             for change in changes.iter_mut() {
                 let Change::Claim {
                     request,
                     key,
                     claimant,
-                    since,
+                    queued_at,
                 } = *change
                 else {
                     continue;
                 };
-                if now.since(since) >= settings.timeout {
+                if now.since(queued_at) >= settings.timeout {
                     results.push((request, ClaimResult::Unavailable));
                     *change = Change::Withdraw { key, claimant };
                 }
@@ -341,34 +353,36 @@
         settings: &ClaimSettings,
         results: &mut Vec<(RequestId, ClaimResult)>,
     ) -> Option<ClaimStep> {
-        if self.in_flight || self.is_settled() || now < self.next_at {
+        if self.in_flight || self.is_idle() || now < self.next_at {
             return None;
         }
         self.next_at = now + settings.write_interval;
         self.in_flight = true;
-        let Some(known) = &self.known else {
+        let Some(cached) = &self.cached else {
             return Some(ClaimStep::Read(number));
         };
-        let expect = known.version;
-        let mut value = known.value.clone();
+        let expect = cached.version;
+        let mut value = cached.value.clone();
         let oldest = wall_seconds.saturating_sub(settings.retention.as_secs());
         value.claims.retain(|_, claim| claim.claimed_at >= oldest);
-        let changes = std::mem::take(&mut self.waiting);
+        let changes = std::mem::take(&mut self.queued);
         for change in changes {
             match apply(&mut value, change, wall_seconds, settings.max_keys) {
-                Applied::Done => self.written.push(change),
-                Applied::Nothing => {}
-                Applied::Full(request) => results.push((request, ClaimResult::Unavailable)),
+                ApplyOutcome::Changed => self.unacknowledged.push(change),
+                ApplyOutcome::Unchanged => {}
+                ApplyOutcome::PartitionFull(request) => {
+                    results.push((request, ClaimResult::Unavailable))
+                }
                 // The key was present in cached content, which may be out of date; the partition
                 // is read again before the caller is refused.
-                Applied::Taken => self.waiting.push(change),
+                ApplyOutcome::KeyTaken => self.queued.push(change),
             }
         }
-        if self.written.is_empty() {
-            self.known = None;
+        if self.unacknowledged.is_empty() {
+            self.cached = None;
             return Some(ClaimStep::Read(number));
         }
-        self.pending = Some(value.clone());
+        self.pending_value = Some(value.clone());
         Some(ClaimStep::Write {
             partition: number,
             expect,
@@ -377,12 +391,12 @@
     }
 
     /// Resolves the queued claims whose keys are present in the content just read.
-    fn decide(&mut self) -> Vec<(RequestId, ClaimResult)> {
-        let Some(known) = &self.known else {
+    fn resolve_claims(&mut self) -> Vec<(RequestId, ClaimResult)> {
+        let Some(cached) = &self.cached else {
             return Vec::new();
         };
         let mut results = Vec::new();
-        self.waiting.retain(|change| {
+        self.queued.retain(|change| {
             let Change::Claim {
                 request,
                 key,
@@ -392,7 +406,7 @@
             else {
                 return true;
             };
-            let Some(claim) = known.value.claims.get(&key) else {
+            let Some(claim) = cached.value.claims.get(&key) else {
                 return true;
             };
             let result = if claim.claimant == claimant {
@@ -410,11 +424,15 @@
 }
 
 /// Effect of a change on a partition's value.
-enum Applied {
-    Done,
-    Nothing,
-    Taken,
-    Full(RequestId),
+enum ApplyOutcome {
+    /// The value was changed.
+    Changed,
+    /// The change does not apply.
+    Unchanged,
+    /// The key to claim is already present.
+    KeyTaken,
+    /// The partition holds the maximum number of keys.
+    PartitionFull(RequestId),
 }
 
 fn apply(
@@ -422,7 +440,7 @@
     change: Change,
     wall_seconds: u64,
     max_keys: usize,
-) -> Applied {
+) -> ApplyOutcome {
     match change {
         Change::Claim {
             request,
@@ -431,10 +449,10 @@
             ..
         } => {
             if value.claims.contains_key(&key) {
-                return Applied::Taken;
+                return ApplyOutcome::KeyTaken;
             }
             if value.claims.len() >= max_keys {
-                return Applied::Full(request);
+                return ApplyOutcome::PartitionFull(request);
             }
             let claim = Claim {
                 claimant,
@@ -442,33 +460,33 @@
                 state: ClaimState::Claimed,
             };
             value.claims.insert(key, claim);
-            Applied::Done
+            ApplyOutcome::Changed
         }
         Change::Rewrite { key, claim } => {
             if value.claims.contains_key(&key) {
-                return Applied::Nothing;
+                return ApplyOutcome::Unchanged;
             }
             value.claims.insert(key, claim);
-            Applied::Done
+            ApplyOutcome::Changed
         }
         Change::Complete { key, claimant } => {
             let claim = value.claims.get_mut(&key);
             let Some(claim) = claim.filter(|claim| claim.claimant == claimant) else {
-                return Applied::Nothing;
+                return ApplyOutcome::Unchanged;
             };
             claim.state = ClaimState::Completed;
-            Applied::Done
+            ApplyOutcome::Changed
         }
         Change::Withdraw { key, claimant } => {
-            let ours = value
+            let is_ours = value
                 .claims
                 .get(&key)
                 .is_some_and(|claim| claim.claimant == claimant);
-            if !ours {
-                return Applied::Nothing;
+            if !is_ours {
+                return ApplyOutcome::Unchanged;
             }
             value.claims.remove(&key);
-            Applied::Done
+            ApplyOutcome::Changed
         }
     }
 }
--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -480,7 +480,7 @@
         now: Timestamp,
         state: &FleetState,
     ) -> (Option<Assignment>, Vec<String>) {
-        let knows_all = state.fleet().is_some() && state.whole_hosts().is_some();
+        let knows_all = state.fleet().is_some() && state.full_hosts().is_some();
         let Some(stored) = self.stored.clone().filter(|_| knows_all) else {
             return (None, Vec::new());
         };
--- a/shalehinge/src/core/controller/ordered.rs
+++ b/shalehinge/src/core/controller/ordered.rs
@@ -55,7 +55,7 @@
     /// Takes in the list; hosts that it no longer names are remembered for a while,
     /// as long as the assignment names them.
     pub(super) fn note_listed(&mut self, now: Timestamp, state: &FleetState) {
-        let Some(hosts) = state.whole_hosts() else {
+        let Some(hosts) = state.full_hosts() else {
             return;
         };
         if self.listed_version == hosts.version {
--- a/shalehinge/src/core/controller/reported.rs
+++ b/shalehinge/src/core/controller/reported.rs
@@ -21,7 +21,7 @@
         state: &FleetState,
         log: &mut Vec<String>,
     ) {
-        let (Some(fleet), Some(hosts)) = (state.fleet(), state.whole_hosts()) else {
+        let (Some(fleet), Some(hosts)) = (state.fleet(), state.full_hosts()) else {
             return;
         };
         self.take_acknowledgements(value, state, log);
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -71,7 +71,7 @@
         wanted: &mut ReplicaCounts,
     ) -> Vec<String> {
         let versions = (state.fleet_version(), state.hosts_version());
-        let (Some(fleet), Some(hosts)) = (state.fleet(), state.whole_hosts()) else {
+        let (Some(fleet), Some(hosts)) = (state.fleet(), state.full_hosts()) else {
             return Vec::new();
         };
         let is_known = versions == self.made_from
--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -82,7 +82,7 @@
                 | PlatformReply::HistoryGone(_),
             )
             | Err(NoAnswer) => {
-                self.claims.on_unclear(partition);
+                self.claims.on_call_failed(partition);
                 Vec::new()
             }
         };
@@ -105,7 +105,7 @@
             if result == ClaimResult::Granted {
                 let wall_seconds = self.identity.wall_seconds + now.as_duration().as_secs();
                 let (key, claimant) = (claimed.key, claimed.claimant);
-                self.claims.remember(now, wall_seconds, key, claimant);
+                self.claims.record_granted(now, wall_seconds, key, claimant);
                 self.submit(now, request, meta, out);
                 continue;
             }
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -7,7 +7,7 @@
 use super::{Daemon, Purpose, RUMOUR_FANOUT, WATCH_DUTY, WATCH_PAUSE, log};
 use crate::core::event::{Action, LimitsNotice, Notice, Part, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
-use crate::core::fleet_state::{Applied, ObjectUpdate};
+use crate::core::fleet_state::{ApplyResult, ObjectUpdate};
 use crate::core::objects::{Object, ObjectKey};
 use crate::core::platform::{Freshness, PlatformCall, PlatformReply, PlatformResult, Scope};
 use crate::core::router::topology;
@@ -155,10 +155,10 @@
             Scope::Shared | Scope::Configuration => Duration::ZERO,
         };
         feed.on_answer(now, result, spacing, pause, self.confirmation);
-        let is_list_known = scope != Scope::Hosts || self.state.whole_hosts().is_some();
+        let is_list_known = scope != Scope::Hosts || self.state.full_hosts().is_some();
         if feed.has_listed() && !is_list_known {
             // The list was older than what peers told.
-            feed.list_again(now);
+            feed.relist(now);
         }
         if matches!(result, Ok(PlatformReply::Objects { .. })) {
             self.rewrite_lost_fleet(now, out);
@@ -243,10 +243,10 @@
             if self.state.hosts_version().era != era_of_hosts {
                 self.note_earlier_hosts(now, heard_at);
             }
-            if let Some(version) = fleet_version.filter(|_| applied == Applied::Nothing) {
+            if let Some(version) = fleet_version.filter(|_| applied == ApplyResult::Unchanged) {
                 self.note_passed_over(version, out);
             }
-            if applied == Applied::All {
+            if applied == ApplyResult::Changed {
                 is_changed = true;
                 // Daemons that hear of hosts from peers ask for them at intervals.
                 is_news |= key != ObjectKey::Hosts || !self.settings.learning.relays;
@@ -260,7 +260,8 @@
             self.rebuild_topology();
         }
         if is_news {
-            self.membership.set_fleet(self.state.fleet_version());
+            self.membership
+                .set_fleet_version(self.state.fleet_version());
             self.spread(now, out);
         }
     }
@@ -304,7 +305,7 @@
     pub(super) fn spread(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let peers = self
             .membership
-            .some_peers(now, RUMOUR_FANOUT, &mut self.rng);
+            .random_peers(now, RUMOUR_FANOUT, &mut self.rng);
         self.notify(peers, Vec::new(), out);
     }
 
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -51,7 +51,7 @@
             return;
         }
         self.was_holder = held.is_some();
-        self.membership.set_control(self.was_holder);
+        self.membership.set_holds_control(self.was_holder);
         let domain = &self.identity.failure_domain;
         let text = match held {
             Some(epoch) => format!("holds {domain} in epoch {}", epoch.0),
@@ -73,7 +73,7 @@
             Ok(PlatformReply::Written(version)) => self.lease.on_written(now, version),
             Ok(PlatformReply::Conflict(_)) => self.lease.on_conflict(now),
             Ok(PlatformReply::Objects { .. } | PlatformReply::HistoryGone(_)) | Err(NoAnswer) => {
-                self.lease.on_unclear();
+                self.lease.on_unknown_outcome();
             }
         }
         self.note_holder(now, out);
@@ -99,7 +99,7 @@
         }
         self.next_work_at = now + WORK_INTERVAL;
         let daemons = self.membership.fleet_size(now);
-        let work = self.demand.of_fleet(now, daemons);
+        let work = self.demand.fleet_work(now, daemons);
         for text in self.controller.note_work(&self.state, &work) {
             log(out, Part::Place, text);
         }
@@ -107,7 +107,7 @@
 
     fn listing(&self, now: Timestamp) -> Listing {
         // Only the holder needs the number of failure domains.
-        let hosts = self.state.whole_hosts().filter(|_| self.was_holder);
+        let hosts = self.state.full_hosts().filter(|_| self.was_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
             .iter()
             .flat_map(|list| list.value.hosts.values())
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -8,7 +8,7 @@
 use super::{Daemon, log};
 use crate::core::event::{Action, LimitsNotice, Notice, Part};
 use crate::core::membership::Owner;
-use crate::core::permits::{Granted, LimitReport, PermitRequest};
+use crate::core::permits::{DaemonGrant, LimitReport, PermitRequest};
 use crate::core::types::{Address, Timestamp};
 
 impl Daemon {
@@ -48,7 +48,7 @@
 
     fn owner_address(&self, now: Timestamp, report: &LimitReport) -> Address {
         match self.owner_of(now, report) {
-            Owner::Me => self.identity.address,
+            Owner::ThisDaemon => self.identity.address,
             Owner::Peer(owner) => owner,
         }
     }
@@ -61,8 +61,9 @@
         out: &mut Vec<Action>,
     ) {
         let upstream = &request.known.upstream;
-        self.permits.learn(now, now, &request.known);
-        self.permits.ask(now, from, upstream, request.wanted);
+        self.permits.record_report(now, now, &request.known);
+        self.permits
+            .queue_request(now, from, upstream, request.wanted);
         let in_force = self.permits.report(now, upstream);
         let in_force: Vec<LimitReport> = in_force
             .into_iter()
@@ -87,7 +88,7 @@
     }
 
     fn grant_permits(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        for Granted { daemon, grant } in self.permits.grant(now) {
+        for DaemonGrant { daemon, grant } in self.permits.grant(now) {
             let text = format!(
                 "grants {} requests at {} to {daemon}",
                 grant.count, grant.upstream
@@ -102,11 +103,11 @@
     }
 
     fn tell_limits_in_force(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let in_force = self.permits.news(now);
+        let in_force = self.permits.take_due_broadcasts(now);
         if in_force.is_empty() {
             return;
         }
-        let peers = self.membership.alive(now).map(|peer| peer.address);
+        let peers = self.membership.live_peers(now).map(|peer| peer.address);
         let all = peers.chain([self.identity.address]).collect();
         let limits = LimitsNotice {
             in_force,
@@ -147,12 +148,12 @@
         out: &mut Vec<Action>,
     ) {
         for report in limits.told {
-            if self.owner_of(now, &report) == Owner::Me {
-                self.permits.learn(now, now, &report);
+            if self.owner_of(now, &report) == Owner::ThisDaemon {
+                self.permits.record_report(now, now, &report);
             }
         }
         for request in limits.asked {
-            if self.owner_of(now, &request.known) == Owner::Me {
+            if self.owner_of(now, &request.known) == Owner::ThisDaemon {
                 self.on_permits_asked(now, from, &request, out);
             }
         }
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -36,7 +36,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::core::claims::{ClaimBook, ClaimResult};
+use crate::core::claims::{ClaimResult, ClaimTracker};
 use crate::core::controller::Controller;
 use crate::core::demand::Demand;
 use crate::core::event::{Action, Event, LimitsNotice, LogLine, Part, StatusPurpose};
@@ -44,6 +44,7 @@
 use crate::core::fleet_state::{FleetState, HostDetail};
 use crate::core::lease::ControlLease;
 use crate::core::membership::{Heartbeat, Membership};
+use crate::core::object_fetch::ObjectFetch;
 use crate::core::objects::KeyHash;
 use crate::core::operator::{OperatorCallId, Operators};
 use crate::core::permits::PermitOwner;
@@ -57,7 +58,6 @@
     Address, Customer, DaemonId, FailureDomain, FleetVersion, Incarnation, OperationId, RequestId,
     Timestamp,
 };
-use crate::core::whole_fetch::WholeFetch;
 use crate::settings::core::CoreSettings;
 use crate::settings::learning::{FeedLayout, LearningSettings};
 
@@ -136,7 +136,7 @@
     membership: Membership,
     lease: ControlLease,
     controller: Controller,
-    claims: ClaimBook,
+    claims: ClaimTracker,
     /// The limits of upstreams that this daemon owns.
     permits: PermitOwner,
     /// The trials that this daemon hands out.
@@ -164,7 +164,7 @@
     next_relay_at: Timestamp,
     /// The time of which peers told the host list.
     hosts_told_at: Option<Timestamp>,
-    whole_fetch: WholeFetch,
+    whole_fetch: ObjectFetch,
     superseded: Superseded,
     /// How long before the start of this daemon the platform confirmed the configuration, as
     /// peers told; counts until it is confirmed again.
@@ -198,7 +198,7 @@
             state: FleetState::new(if settings.learning.relays {
                 HostDetail::Routable
             } else {
-                HostDetail::Whole
+                HostDetail::Full
             }),
             membership: Membership::new(settings.membership, heartbeat, identity.seeds.clone()),
             lease: ControlLease::new(
@@ -207,7 +207,7 @@
                 identity.incarnation,
             ),
             controller: Controller::new(settings.control, domain),
-            claims: ClaimBook::new(settings.claims),
+            claims: ClaimTracker::new(settings.claims),
             permits: PermitOwner::default(),
             trials: TrialOwner::default(),
             own_trials: Vec::new(),
@@ -231,7 +231,7 @@
             next_confirm_at: Timestamp::ZERO,
             next_relay_at: Timestamp::ZERO,
             hosts_told_at: None,
-            whole_fetch: WholeFetch::default(),
+            whole_fetch: ObjectFetch::default(),
             superseded: Superseded::default(),
             confirmed_before_start: None,
             next_suspects_at: Timestamp::ZERO,
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -40,7 +40,9 @@
             Some(OperatorStep::Answer(answer)) => {
                 // Whoever confirmed has it in force at once.
                 if let Ok(PlatformReply::Written(_)) = result {
-                    self.feeds.iter_mut().for_each(|feed| feed.hurry(now));
+                    self.feeds
+                        .iter_mut()
+                        .for_each(|feed| feed.schedule_now(now));
                 }
                 out.push(Action::AnswerOperator {
                     call_id: id,
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -17,9 +17,9 @@
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{ObjectUpdate, VersionDigest};
 use crate::core::membership::Gossip;
+use crate::core::object_fetch::Locality;
 use crate::core::platform::Scope;
 use crate::core::types::{Address, FailureDomain, ReplicaId, Timestamp, Version};
-use crate::core::whole_fetch::Distance;
 
 /// So many milliseconds before then, if this daemon ran already.
 fn before(at: Timestamp, millis: u64) -> Option<Timestamp> {
@@ -91,7 +91,7 @@
         match topic {
             PullTopic::All => self.membership.gossip(now, asked, &mut self.rng),
             PullTopic::Objects | PullTopic::Moving | PullTopic::WholeObjects => {
-                self.membership.greeting()
+                self.membership.own_gossip()
             }
         }
     }
@@ -116,7 +116,7 @@
         self.feeds
             .iter()
             .filter(|feed| feed.scope() == Scope::Hosts)
-            .filter_map(Feed::heard_at)
+            .filter_map(Feed::last_answer_at)
             .any(|heard_at| now.since(heard_at) < FRESH)
     }
 
@@ -168,7 +168,7 @@
         self.note_moving(now, own);
         let peers = self
             .membership
-            .some_peers(now, MOVING_WITNESSES, &mut self.rng);
+            .random_peers(now, MOVING_WITNESSES, &mut self.rng);
         for to in peers {
             let pull = self.pull_of(now, PullTopic::Moving);
             out.push(Action::Pull { to, pull });
@@ -247,7 +247,7 @@
         match topic {
             PullTopic::All | PullTopic::Objects => hosts.into_iter().collect(),
             PullTopic::WholeObjects => {
-                let mut updates = self.state.whole_objects_after(known);
+                let mut updates = self.state.full_objects_after(known);
                 updates.extend(hosts);
                 updates
             }
@@ -283,18 +283,18 @@
         self.superseded.hear(now, digest.fleet, own);
         if self.state.is_behind(digest) {
             let distance = self.distance_of(from);
-            self.whole_fetch.hear(now, from, distance);
+            self.whole_fetch.note_newer_version(now, from, distance);
         }
     }
 
     /// A peer that is not known yet is taken for near, as is any while nothing can be served.
-    fn distance_of(&self, peer: Address) -> Distance {
+    fn distance_of(&self, peer: Address) -> Locality {
         let domain = self.membership.domain_of(peer);
         let is_far = domain.is_some_and(|domain| *domain != self.identity.failure_domain);
         if is_far && self.state.fleet().is_some() {
-            Distance::Far
+            Locality::Remote
         } else {
-            Distance::Near
+            Locality::Local
         }
     }
 
@@ -365,7 +365,7 @@
     pub(super) fn tell_lost(&mut self, now: Timestamp, replica: ReplicaId, out: &mut Vec<Action>) {
         let peers = self
             .membership
-            .alive(now)
+            .live_peers(now)
             .map(|peer| peer.address)
             .collect();
         self.notify(peers, vec![replica.clone()], out);
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -101,7 +101,7 @@
             ..news
         };
         if !for_all.is_empty() {
-            let peers = self.membership.alive(now).map(|peer| peer.address);
+            let peers = self.membership.live_peers(now).map(|peer| peer.address);
             self.send_quarantine(peers.collect(), report(now, for_all), out);
         }
         if !losses.is_empty() {
@@ -116,7 +116,7 @@
     /// Those who count the losses of all daemons, but for this one.
     fn witnesses(&self, now: Timestamp) -> Vec<Address> {
         let membership = &self.membership;
-        let peers = membership.alive(now).map(|peer| &peer.failure_domain);
+        let peers = membership.live_peers(now).map(|peer| &peer.failure_domain);
         let domains: BTreeSet<&FailureDomain> =
             peers.chain([&self.identity.failure_domain]).collect();
         domains
@@ -149,8 +149,8 @@
         out: &mut Vec<Action>,
     ) {
         match self.membership.fleet_owner(now, &request.target) {
-            Owner::Me => {
-                let grant = self.trials.ask(now, &request);
+            Owner::ThisDaemon => {
+                let grant = self.trials.try_grant(now, &request);
                 self.own_trials.extend(grant);
             }
             Owner::Peer(owner) => {
@@ -172,10 +172,10 @@
         request: &TrialRequest,
         out: &mut Vec<Action>,
     ) {
-        if self.membership.fleet_owner(now, &request.target) != Owner::Me {
+        if self.membership.fleet_owner(now, &request.target) != Owner::ThisDaemon {
             return;
         }
-        let Some(grant) = self.trials.ask(now, request) else {
+        let Some(grant) = self.trials.try_grant(now, request) else {
             return;
         };
         let report = QuarantineReport {
--- a/shalehinge/src/core/daemon/relays.rs
+++ b/shalehinge/src/core/daemon/relays.rs
@@ -95,7 +95,7 @@
 
     /// The daemon above this one in the tree; none above a watcher.
     fn daemon_above(&self, now: Timestamp) -> Option<Address> {
-        let ranked = self.membership.ranked(now, WATCH_DUTY);
+        let ranked = self.membership.ranked_members(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me)?;
         let below_watchers = rank.checked_sub(self.settings.learning.watchers)?;
@@ -134,7 +134,7 @@
         if silent_for < self.patience() {
             return false;
         }
-        let ranked = self.membership.ranked(now, WATCH_DUTY);
+        let ranked = self.membership.ranked_members(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me).unwrap_or(0) as u32;
         let step = (FALLBACK_STEP * rank).min(FALLBACK_SPREAD);
@@ -149,26 +149,26 @@
     /// When the platform last answered this daemon itself about hosts.
     fn host_feed_heard_at(&self) -> Option<Timestamp> {
         let feed = self.feeds.iter().find(|feed| feed.scope() == Scope::Hosts);
-        feed.and_then(Feed::heard_at)
+        feed.and_then(Feed::last_answer_at)
     }
 
     /// Where the platform no longer answers this daemon, but others, what they tell counts.
     /// The feed goes on asking, and lists anew once it is answered.
     pub(super) fn prefer_news_of_peers(&mut self, now: Timestamp, index: usize) {
-        let heard_at = self.feeds[index].heard_at();
+        let heard_at = self.feeds[index].last_answer_at();
         if !self.is_reading(now) && self.hosts_told_at > heard_at {
-            self.state.forget_other_hosts();
+            self.state.discard_unroutable_hosts();
         }
     }
 
     /// Stops reading the host list: peers tell what routing needs of it.
     pub(super) fn stop_reading_hosts(&mut self, index: usize) {
         let is_idle = !self.feeds[index].is_active();
-        if is_idle && self.state.whole_hosts().is_none() {
+        if is_idle && self.state.full_hosts().is_none() {
             return;
         }
         self.drop_calls_of_feed(index);
         self.feeds[index].reset();
-        self.state.forget_other_hosts();
+        self.state.discard_unroutable_hosts();
     }
 }
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -21,7 +21,7 @@
             return;
         }
         self.is_leaving = true;
-        self.membership.leave();
+        self.membership.mark_leaving();
         log(out, Part::Daemon, "leaves; no longer ready".into());
         let operation = self.operation();
         if let Some(step) = self.lease.release(now, operation) {
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -133,7 +133,7 @@
         }
         let is_recent = heard_at.is_some_and(|at| now.since(at) < LIST_OUTLASTS_COPY);
         if !is_recent {
-            self.state.forget_earlier_hosts();
+            self.state.discard_earlier_hosts();
             return;
         }
         let heartbeat = self.settings.control.host_heartbeat;
@@ -145,7 +145,7 @@
             return;
         }
         self.era.hosts_until = None;
-        self.state.forget_earlier_hosts();
+        self.state.discard_earlier_hosts();
         self.rebuild_topology();
         let text = "hosts are as the platform lists them now".to_owned();
         log(out, Part::Platform, text);
--- a/shalehinge/src/core/demand.rs
+++ b/shalehinge/src/core/demand.rs
@@ -17,18 +17,18 @@
 /// Time constant of the exponential decay: a count falls to 1/e in this time. A burst of two or
 /// three seconds does not change the placement, as replicas take 2 to 16 s to form; a lasting
 /// change does.
-const MEMORY: Duration = Duration::from_secs(8);
+const DECAY_TIME: Duration = Duration::from_secs(8);
 /// Age at which a peer's counts are discarded; they have decayed to a twentieth by then.
-const FORGET_AFTER: Duration = Duration::from_secs(24);
+const PEER_EXPIRY: Duration = Duration::from_secs(24);
 
 /// Number of other daemons whose counts are included in one message. At two messages a second, a
 /// daemon knows most of a fleet of a hundred daemons after four seconds. Each message grows by
 /// about two kilobytes.
-const FORWARDED: usize = 16;
+const MAX_FORWARDED_REPORTS: usize = 16;
 
 /// Fraction of a count that remains after this time.
-fn decay(passed: Duration) -> f64 {
-    (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+fn decay_factor(elapsed: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
 
 /// Load on one model: a decayed count or a rate per second.
@@ -115,7 +115,7 @@
 /// Load on this daemon and, as reported by peers, on other daemons.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    own: DaemonWork,
+    own_counts: DaemonWork,
     /// When the own counts were last decayed; `None` before the first request.
     counted_at: Option<Timestamp>,
     peers: BTreeMap<DaemonId, PeerWork>,
@@ -160,37 +160,44 @@
     }
 
     fn add(&mut self, now: Timestamp, model: &ModelName, work: ModelWork) {
-        self.own = self.own(now);
+        self.own_counts = self.own_work(now);
         self.counted_at = Some(now);
-        self.own.counts.entry(model.clone()).or_default().add(work);
+        self.own_counts
+            .counts
+            .entry(model.clone())
+            .or_default()
+            .add(work);
     }
 
     /// What arrived at this daemon.
     /// The load on this daemon, decayed to `now`.
-    fn own(&self, now: Timestamp) -> DaemonWork {
+    fn own_work(&self, now: Timestamp) -> DaemonWork {
         let Some(counted_at) = self.counted_at else {
             return DaemonWork::default();
         };
-        let left = decay(now.since(counted_at));
-        let mut work = self.own.scaled(left);
-        work.seconds += MEMORY.as_secs_f64() * (1.0 - left);
+        let remaining = decay_factor(now.since(counted_at));
+        let mut work = self.own_counts.scaled(remaining);
+        work.seconds += DECAY_TIME.as_secs_f64() * (1.0 - remaining);
         work
     }
 
-    /// The reports for one message of this daemon, `me`: its own counts, if it has any, and those
-    /// of a random sample of peers.
+    /// The reports for one message of this daemon, `own_id`: its own counts, if it has any, and
+    /// those of a random sample of peers.
     pub fn reports(
         &self,
         now: Timestamp,
-        me: &DaemonId,
+        own_id: &DaemonId,
         rng: &mut impl rand::Rng,
     ) -> Vec<WorkReport> {
         let own = WorkReport {
-            daemon: me.clone(),
+            daemon: own_id.clone(),
             ms_ago: 0,
-            work: self.own(now),
+            work: self.own_work(now),
         };
-        let others = self.peers.iter().choose_multiple(rng, FORWARDED);
+        let others = self
+            .peers
+            .iter()
+            .choose_multiple(rng, MAX_FORWARDED_REPORTS);
         let others = others.into_iter().map(|(daemon, peer)| WorkReport {
             daemon: daemon.clone(),
             ms_ago: now.since(peer.counted_at).as_millis() as u64,
@@ -206,7 +213,7 @@
 
     /// Merges the reports of a peer. Reports on this daemon, expired reports and those that are
     /// not newer than the known ones are ignored.
-    pub fn merge(&mut self, now: Timestamp, me: &DaemonId, reports: Vec<WorkReport>) {
+    pub fn merge(&mut self, now: Timestamp, own_id: &DaemonId, reports: Vec<WorkReport>) {
         for WorkReport {
             daemon,
             ms_ago,
@@ -214,7 +221,7 @@
         } in reports
         {
             let age = Duration::from_millis(ms_ago);
-            if daemon == *me || age >= FORGET_AFTER.min(now.as_duration()) {
+            if daemon == *own_id || age >= PEER_EXPIRY.min(now.as_duration()) {
                 continue;
             }
             let counted_at = now.minus(age);
@@ -224,15 +231,15 @@
             }
         }
         self.peers
-            .retain(|_, peer| now.since(peer.counted_at) < FORGET_AFTER);
+            .retain(|_, peer| now.since(peer.counted_at) < PEER_EXPIRY);
     }
 
     /// Estimates the load on a fleet of `daemons` daemons from the known counts. Older reports of
     /// peers have a lower weight.
-    pub fn of_fleet(&self, now: Timestamp, daemons: usize) -> FleetWork {
-        let mut sample = self.own(now);
+    pub fn fleet_work(&self, now: Timestamp, daemons: usize) -> FleetWork {
+        let mut sample = self.own_work(now);
         for peer in self.peers.values() {
-            sample.add(peer.work.scaled(decay(now.since(peer.counted_at))));
+            sample.add(peer.work.scaled(decay_factor(now.since(peer.counted_at))));
         }
         if sample.seconds <= 0.0 {
             return FleetWork::default();
--- a/shalehinge/src/core/earlier_hosts.rs
+++ b/shalehinge/src/core/earlier_hosts.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of departed hosts that are tracked: enough for the restart of a large failure
 /// domain.
-const MOST_DEPARTED: usize = 512;
+const MAX_DEPARTED_HOSTS: usize = 512;
 
 /// Hosts that were removed from the list recently, each with the start of the engine process that
 /// ended.
@@ -21,13 +21,13 @@
 
 impl DepartedHosts {
     /// Records the hosts that a change removes from `list`.
-    pub fn note(&mut self, list: &HostList, removed: &BTreeSet<HostId>) {
+    pub fn record_removed(&mut self, list: &HostList, removed: &BTreeSet<HostId>) {
         for host in removed {
             if let Some(record) = list.hosts.get(host) {
                 self.0.push_back((host.clone(), record.started));
             }
         }
-        while self.0.len() > MOST_DEPARTED {
+        while self.0.len() > MAX_DEPARTED_HOSTS {
             self.0.pop_front();
         }
     }
@@ -43,39 +43,39 @@
 /// Host records of the previous era that the new era has not reported yet.
 #[derive(Clone, Debug)]
 pub struct EarlierHosts {
-    listed: BTreeMap<HostId, HostRecord>,
+    former_records: BTreeMap<HostId, HostRecord>,
     departed: DepartedHosts,
-    reported_anew: BTreeSet<HostId>,
+    reported_in_new_era: BTreeSet<HostId>,
 }
 
 impl EarlierHosts {
     /// Creates the state from the last list of the previous era and the hosts that had left it.
     pub fn new(list: HostList, departed: DepartedHosts) -> Self {
         Self {
-            listed: list.hosts,
+            former_records: list.hosts,
             departed,
-            reported_anew: BTreeSet::new(),
+            reported_in_new_era: BTreeSet::new(),
         }
     }
 
     /// Records that the new era reported these hosts, which supersedes their former records.
-    pub fn note_changes(&mut self, changes: &HostChanges) {
-        let told = changes.changed.keys().chain(&changes.removed);
-        for host in told {
-            self.listed.remove(host);
-            self.reported_anew.insert(host.clone());
+    pub fn record_changes(&mut self, changes: &HostChanges) {
+        let reported = changes.changed.keys().chain(&changes.removed);
+        for host in reported {
+            self.former_records.remove(host);
+            self.reported_in_new_era.insert(host.clone());
         }
     }
 
     /// Returns a list of the new era combined with the former records that still apply.
-    pub fn laid_over(&self, list: &HostList) -> HostList {
+    pub fn overlay(&self, list: &HostList) -> HostList {
         let mut hosts = list.hosts.clone();
         hosts.retain(|host, record| {
             let may_have_left =
-                !self.reported_anew.contains(host) && !self.listed.contains_key(host);
+                !self.reported_in_new_era.contains(host) && !self.former_records.contains_key(host);
             !(may_have_left && self.departed.contains(host, record))
         });
-        for (host, known) in &self.listed {
+        for (host, known) in &self.former_records {
             let is_leaving = hosts.get(host).is_some_and(|record| {
                 record.state == HostState::Leaving
                     && !EngineStart::differ(record.started, known.started)
--- a/shalehinge/src/core/feed.rs
+++ b/shalehinge/src/core/feed.rs
@@ -23,8 +23,8 @@
 
 /// A call without an answer yet.
 #[derive(Clone, Copy, Debug)]
-struct Question {
-    at: Timestamp,
+struct PendingCall {
+    called_at: Timestamp,
     freshness: Freshness,
 }
 
@@ -34,16 +34,16 @@
     scope: Scope,
     revision: Version,
     has_listed: bool,
-    question: Option<Question>,
+    pending_call: Option<PendingCall>,
     next_at: Timestamp,
     as_of: Option<Timestamp>,
-    heard_at: Option<Timestamp>,
+    last_answer_at: Option<Timestamp>,
     /// Answers lagged behind: only exact calls are made before this time.
     exact_until: Timestamp,
     /// Freshness that the next list call requires.
     list_freshness: Freshness,
     /// The call in flight belongs to a previous era: its answer only allows the next call.
-    is_question_outdated: bool,
+    is_pending_call_outdated: bool,
 }
 
 impl Feed {
@@ -53,13 +53,13 @@
             scope,
             revision: Version::NONE,
             has_listed: false,
-            question: None,
+            pending_call: None,
             next_at: Timestamp::ZERO,
             as_of: None,
-            heard_at: None,
+            last_answer_at: None,
             exact_until: Timestamp::ZERO,
             list_freshness: Freshness::Exact,
-            is_question_outdated: false,
+            is_pending_call_outdated: false,
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Starts over with an exact list, as the known revision can't be continued.
-    pub fn list_again(&mut self, now: Timestamp) {
+    pub fn relist(&mut self, now: Timestamp) {
         self.has_listed = false;
         self.list_freshness = Freshness::Exact;
         self.next_at = now;
@@ -81,8 +81,8 @@
     /// Starts over with an exact list in a new era of the store, once the call in flight has
     /// ended.
     pub fn begin_era(&mut self, now: Timestamp) {
-        self.list_again(now);
-        self.is_question_outdated = self.question.is_some();
+        self.relist(now);
+        self.is_pending_call_outdated = self.pending_call.is_some();
     }
 
     /// The scope that the feed lists and watches.
@@ -96,13 +96,13 @@
     }
 
     /// When the platform last answered successfully.
-    pub fn heard_at(&self) -> Option<Timestamp> {
-        self.heard_at
+    pub fn last_answer_at(&self) -> Option<Timestamp> {
+        self.last_answer_at
     }
 
     /// Whether a list is complete, or a call is in flight.
     pub fn is_active(&self) -> bool {
-        self.has_listed || self.question.is_some()
+        self.has_listed || self.pending_call.is_some()
     }
 
     /// Discards all state. Used when the data comes from another source.
@@ -124,12 +124,15 @@
         watch: Option<Freshness>,
         wait: Duration,
     ) -> Option<PlatformCall> {
-        if self.question.is_some() || now < self.next_at {
+        if self.pending_call.is_some() || now < self.next_at {
             return None;
         }
         if !self.has_listed {
             let freshness = self.list_freshness;
-            self.question = Some(Question { at: now, freshness });
+            self.pending_call = Some(PendingCall {
+                called_at: now,
+                freshness,
+            });
             let scope = self.scope;
             return Some(PlatformCall::List { scope, freshness });
         }
@@ -137,7 +140,10 @@
         if now < self.exact_until {
             freshness = Freshness::Exact;
         }
-        self.question = Some(Question { at: now, freshness });
+        self.pending_call = Some(PendingCall {
+            called_at: now,
+            freshness,
+        });
         Some(PlatformCall::Watch {
             scope: self.scope,
             after: self.revision,
@@ -146,21 +152,21 @@
         })
     }
 
-    /// Handles the result of the call in flight. The next call is due `spacing` after this one
-    /// was made, or `pause` from now if it failed. `confirmed` is the most recent proof of any
-    /// feed.
+    /// Handles the result of the call in flight. The next call is due `min_interval` after this
+    /// one was made, or `retry_delay` from now if it failed. `confirmed` is the most recent proof
+    /// of any feed.
     pub fn on_answer(
         &mut self,
         now: Timestamp,
         result: &PlatformResult,
-        spacing: Duration,
-        pause: Duration,
+        min_interval: Duration,
+        retry_delay: Duration,
         confirmed: Option<Confirmation>,
     ) {
-        let Some(question) = self.question.take() else {
+        let Some(pending_call) = self.pending_call.take() else {
             return;
         };
-        if std::mem::take(&mut self.is_question_outdated) {
+        if std::mem::take(&mut self.is_pending_call_outdated) {
             self.next_at = now;
             return;
         }
@@ -169,26 +175,28 @@
                 // A stale answer never lowers the known revision.
                 self.revision = self.revision.max(*revision);
                 self.has_listed = true;
-                self.heard_at = Some(now);
-                self.next_at = question.at + spacing;
-                match question.freshness {
-                    Freshness::Exact => self.as_of = self.as_of.max(Some(question.at)),
-                    Freshness::MayBeStale => self.judge(now, question, *revision, confirmed),
+                self.last_answer_at = Some(now);
+                self.next_at = pending_call.called_at + min_interval;
+                match pending_call.freshness {
+                    Freshness::Exact => self.as_of = self.as_of.max(Some(pending_call.called_at)),
+                    Freshness::MayBeStale => {
+                        self.apply_stale_answer(now, pending_call, *revision, confirmed)
+                    }
                 }
             }
             Ok(PlatformReply::HistoryGone(_)) => {
-                self.list_again(now);
+                self.relist(now);
             }
-            _ => self.next_at = now + pause,
+            _ => self.next_at = now + retry_delay,
         }
     }
 
     /// Updates the proven time from an answer that may be stale, or requires exact calls if it
     /// lags behind.
-    fn judge(
+    fn apply_stale_answer(
         &mut self,
         now: Timestamp,
-        question: Question,
+        pending_call: PendingCall,
         revision: Version,
         confirmed: Option<Confirmation>,
     ) {
@@ -197,7 +205,7 @@
         };
         if revision >= confirmed.revision {
             self.as_of = self.as_of.max(Some(confirmed.at));
-        } else if question.at >= confirmed.at {
+        } else if pending_call.called_at >= confirmed.at {
             self.exact_until = now + EXACT_AFTER_LAG;
             self.next_at = now;
         }
@@ -205,20 +213,20 @@
 
     /// The proof that the result gives if the call in flight was exact.
     pub fn confirmation(&self, result: &PlatformResult) -> Option<Confirmation> {
-        let question = self
-            .question
-            .filter(|question| question.freshness == Freshness::Exact)?;
+        let pending_call = self
+            .pending_call
+            .filter(|pending_call| pending_call.freshness == Freshness::Exact)?;
         match result {
             Ok(PlatformReply::Objects { revision, .. }) => Some(Confirmation {
                 revision: *revision,
-                at: question.at,
+                at: pending_call.called_at,
             }),
             _ => None,
         }
     }
 
     /// Makes the next call due now.
-    pub fn hurry(&mut self, now: Timestamp) {
+    pub fn schedule_now(&mut self, now: Timestamp) {
         self.next_at = now;
     }
 }
--- a/shalehinge/src/core/fleet_state.rs
+++ b/shalehinge/src/core/fleet_state.rs
@@ -12,7 +12,9 @@
 use super::objects::{
     Assignment, FleetConfig, HostChanges, HostList, Object, ObjectKey, Versioned,
 };
-use super::routable_hosts::{ChangeLog, RoutableChanges, difference, of_changes, routable_hosts};
+use super::routable_hosts::{
+    ChangeLog, RoutableChanges, routable_changes, routable_difference, routable_hosts,
+};
 use super::types::{AssignmentVersion, FailureDomain, FleetVersion, Version};
 
 /// An object reported by the platform or a peer.
@@ -63,20 +65,20 @@
 pub enum HostDetail {
     /// All hosts.
     #[default]
-    Whole,
+    Full,
     /// Only the hosts that requests are routed to.
     Routable,
 }
 
 /// Effect of applying an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyResult {
     /// Nothing changed: the object was not newer, or does not follow the known version.
-    Nothing,
+    Unchanged,
     /// A change that matters only to the controller of a failure domain.
     ControlOnly,
     /// A change that matters to routing or to peers.
-    All,
+    Changed,
 }
 
 /// The objects in force at this daemon.
@@ -92,18 +94,18 @@
     /// The host list combined with records of the previous era, while any of them apply.
     overlaid_hosts: Option<HostList>,
     /// How much of the host list is known here.
-    known_hosts: HostDetail,
+    known_detail: HostDetail,
     /// How much of the host list is sent to peers.
-    told_hosts: HostDetail,
+    sent_detail: HostDetail,
     host_changes: ChangeLog,
     assignments: BTreeMap<FailureDomain, Versioned<Assignment>>,
 }
 
 impl FleetState {
     /// Creates an empty state that sends this much of the host list to peers.
-    pub fn new(told_hosts: HostDetail) -> Self {
+    pub fn new(sent_detail: HostDetail) -> Self {
         Self {
-            told_hosts,
+            sent_detail,
             ..Self::default()
         }
     }
@@ -148,7 +150,7 @@
     }
 
     /// Discards the records of the previous era, once hosts have had time to register again.
-    pub fn forget_earlier_hosts(&mut self) {
+    pub fn discard_earlier_hosts(&mut self) {
         self.earlier_hosts = None;
         self.overlaid_hosts = None;
     }
@@ -158,7 +160,7 @@
         let earlier = self.earlier_hosts.as_ref();
         self.overlaid_hosts = earlier
             .zip(hosts)
-            .map(|(earlier, hosts)| earlier.laid_over(&hosts.value));
+            .map(|(earlier, hosts)| earlier.overlay(&hosts.value));
     }
 
     /// The known host list, which may be only the routable part.
@@ -167,16 +169,16 @@
     }
 
     /// The known host list, if it is complete.
-    pub fn whole_hosts(&self) -> Option<&Versioned<HostList>> {
-        let is_whole = self.known_hosts == HostDetail::Whole;
-        self.hosts.as_ref().filter(|_| is_whole)
+    pub fn full_hosts(&self) -> Option<&Versioned<HostList>> {
+        let is_full = self.known_detail == HostDetail::Full;
+        self.hosts.as_ref().filter(|_| is_full)
     }
 
     /// Discards the hosts that requests are not routed to. From now on changes come from peers,
     /// which send the routable part only.
-    pub fn forget_other_hosts(&mut self) {
-        if self.known_hosts == HostDetail::Whole {
-            self.known_hosts = HostDetail::Routable;
+    pub fn discard_unroutable_hosts(&mut self) {
+        if self.known_detail == HostDetail::Full {
+            self.known_detail = HostDetail::Routable;
             if let Some(hosts) = &mut self.hosts {
                 hosts.value = routable_hosts(&hosts.value);
             }
@@ -190,23 +192,23 @@
 
     /// Applies an object if it is newer than the known one. Assignments that fail their check are
     /// ignored.
-    pub fn apply(&mut self, update: ObjectUpdate) -> Applied {
+    pub fn apply(&mut self, update: ObjectUpdate) -> ApplyResult {
         let version = update.version;
         let is_newer = match (update.key, update.object) {
             (ObjectKey::Fleet, Object::Fleet(value)) => self.apply_fleet(version, value),
             (ObjectKey::Hosts, object) => return self.apply_hosts(version, object),
             (ObjectKey::Assignment(domain), Object::Assignment(value)) => {
                 if value.check().is_err() {
-                    return Applied::Nothing;
+                    return ApplyResult::Unchanged;
                 }
                 self.apply_assignment(domain, Versioned { version, value })
             }
             _ => false,
         };
         if is_newer {
-            Applied::All
+            ApplyResult::Changed
         } else {
-            Applied::Nothing
+            ApplyResult::Unchanged
         }
     }
 
@@ -232,93 +234,102 @@
         is_newer
     }
 
-    fn apply_hosts(&mut self, version: Version, object: Object) -> Applied {
+    fn apply_hosts(&mut self, version: Version, object: Object) -> ApplyResult {
         let is_newer = self
             .hosts
             .as_ref()
             .is_none_or(|known| version > known.version);
-        let knows_whole = self.whole_hosts().is_some();
+        let has_full_list = self.full_hosts().is_some();
         match object {
             // A complete list supersedes a partial one of the same version.
-            Object::Hosts(list) if is_newer || !knows_whole && self.is_at(version) => {
-                self.replace_hosts(version, list, HostDetail::Whole)
+            Object::Hosts(list) if is_newer || !has_full_list && self.has_hosts_at(version) => {
+                self.replace_hosts(version, list, HostDetail::Full)
             }
-            Object::RoutableHosts(list) if is_newer && !knows_whole => {
+            Object::RoutableHosts(list) if is_newer && !has_full_list => {
                 self.replace_hosts(version, list, HostDetail::Routable)
             }
-            Object::HostChanges(changes) if is_newer && knows_whole && self.is_of_era(version) => {
-                self.change_hosts(version, changes)
+            Object::HostChanges(changes)
+                if is_newer && has_full_list && self.is_in_hosts_era(version) =>
+            {
+                self.apply_host_changes(version, changes)
             }
             Object::RoutableChanges(RoutableChanges { after, changes })
                 if is_newer
-                    && !knows_whole
-                    && self.is_of_era(version)
-                    && self.is_of_era(after)
+                    && !has_full_list
+                    && self.is_in_hosts_era(version)
+                    && self.is_in_hosts_era(after)
                     && self.hosts_version() >= after =>
             {
-                self.change_hosts(version, changes)
+                self.apply_host_changes(version, changes)
             }
-            _ => Applied::Nothing,
+            _ => ApplyResult::Unchanged,
         }
     }
 
-    fn is_at(&self, version: Version) -> bool {
+    fn has_hosts_at(&self, version: Version) -> bool {
         self.hosts.is_some() && self.hosts_version() == version
     }
 
     /// Whether the known host list has the era of this version. Changes only apply to a list of
     /// their own era.
-    fn is_of_era(&self, version: Version) -> bool {
+    fn is_in_hosts_era(&self, version: Version) -> bool {
         self.hosts_version().era == version.era
     }
 
     /// On a change of era, keeps the records of the previous era; otherwise discards those that
     /// the new list supersedes.
-    fn note_era_of_hosts(&mut self, version: Version, list: &HostList) {
-        let is_same_era = self.is_of_era(version);
+    fn track_hosts_era(&mut self, version: Version, list: &HostList) {
+        let is_same_era = self.is_in_hosts_era(version);
         let Some(known) = &self.hosts else {
             return;
         };
         if is_same_era {
             let changes = changes_between(&known.value, list);
-            self.departed_hosts.note(&known.value, &changes.removed);
+            self.departed_hosts
+                .record_removed(&known.value, &changes.removed);
             if let Some(earlier) = &mut self.earlier_hosts {
-                earlier.note_changes(&changes);
+                earlier.record_changes(&changes);
             }
             return;
         }
-        let before = self.routed_hosts().cloned().unwrap_or_default();
+        let former_hosts = self.routed_hosts().cloned().unwrap_or_default();
         let departed = std::mem::take(&mut self.departed_hosts);
-        self.earlier_hosts = Some(EarlierHosts::new(before, departed));
+        self.earlier_hosts = Some(EarlierHosts::new(former_hosts, departed));
         // Peers may have sent changes of the previous era that this daemon has not seen.
         self.host_changes.restart(version);
     }
 
-    fn replace_hosts(&mut self, version: Version, list: HostList, detail: HostDetail) -> Applied {
-        self.note_era_of_hosts(version, &list);
+    fn replace_hosts(
+        &mut self,
+        version: Version,
+        list: HostList,
+        detail: HostDetail,
+    ) -> ApplyResult {
+        self.track_hosts_era(version, &list);
         let changes = match &self.hosts {
-            Some(known) => difference(&known.value, &list),
+            Some(known) => routable_difference(&known.value, &list),
             None => {
                 self.host_changes.restart(version);
-                difference(&HostList::default(), &list)
+                routable_difference(&HostList::default(), &list)
             }
         };
         let value = list;
         self.hosts = Some(Versioned { version, value });
-        self.known_hosts = detail;
+        self.known_detail = detail;
         self.overlay_hosts();
-        self.note_changes(version, changes)
+        self.record_changes(version, changes)
     }
 
     /// Applies changes since the known list, or since an earlier one.
-    fn change_hosts(&mut self, version: Version, changes: HostChanges) -> Applied {
+    fn apply_host_changes(&mut self, version: Version, changes: HostChanges) -> ApplyResult {
         let Some(known) = &mut self.hosts else {
-            return Applied::Nothing;
+            return ApplyResult::Unchanged;
         };
-        let of_routing = of_changes(&known.value, &changes);
-        self.departed_hosts.note(&known.value, &changes.removed);
+        let routable = routable_changes(&known.value, &changes);
+        self.departed_hosts
+            .record_removed(&known.value, &changes.removed);
         if let Some(earlier) = &mut self.earlier_hosts {
-            earlier.note_changes(&changes);
+            earlier.record_changes(&changes);
         }
         known.version = version;
         known.value.hosts.extend(changes.changed);
@@ -326,16 +337,16 @@
             known.value.hosts.remove(host);
         }
         self.overlay_hosts();
-        self.note_changes(version, of_routing)
+        self.record_changes(version, routable)
     }
 
-    fn note_changes(&mut self, version: Version, changes: HostChanges) -> Applied {
-        let changes_nothing = changes.changed.is_empty() && changes.removed.is_empty();
+    fn record_changes(&mut self, version: Version, changes: HostChanges) -> ApplyResult {
+        let is_unchanged = changes.changed.is_empty() && changes.removed.is_empty();
         self.host_changes.push(version, changes);
-        if changes_nothing {
-            Applied::ControlOnly
+        if is_unchanged {
+            ApplyResult::ControlOnly
         } else {
-            Applied::All
+            ApplyResult::Changed
         }
     }
 
@@ -354,7 +365,7 @@
 
     /// The objects that are sent in full and are newer here than in the digest. Only these are
     /// copied, as most peers that ask are nearly up to date.
-    pub fn whole_objects_after(&self, digest: &VersionDigest) -> Vec<ObjectUpdate> {
+    pub fn full_objects_after(&self, digest: &VersionDigest) -> Vec<ObjectUpdate> {
         let mut updates = Vec::new();
         if let Some(object) = &self.fleet
             && object.fleet_version() > digest.fleet
@@ -365,8 +376,8 @@
                 object: Object::Fleet(object.value.clone()),
             });
         }
-        if let Some(list) = self.whole_hosts()
-            && self.told_hosts == HostDetail::Whole
+        if let Some(list) = self.full_hosts()
+            && self.sent_detail == HostDetail::Full
             && list.version > digest.hosts
         {
             updates.push(ObjectUpdate {
@@ -392,7 +403,7 @@
     /// the whole part.
     pub fn routable_hosts_after(&self, digest: &VersionDigest) -> Option<ObjectUpdate> {
         let known = self.hosts.as_ref()?;
-        if self.told_hosts == HostDetail::Whole || known.version <= digest.hosts {
+        if self.sent_detail == HostDetail::Full || known.version <= digest.hosts {
             return None;
         }
         let object = match self.host_changes.since(digest.hosts) {
@@ -409,12 +420,12 @@
     /// Whether a peer with this digest has newer objects. A partial host list does not count, as
     /// it is requested at intervals and not as soon as a peer has a newer one.
     pub fn is_behind(&self, digest: &VersionDigest) -> bool {
-        let mine = self.digest();
+        let own = self.digest();
         let newer_assignment = digest
             .assignments
             .iter()
-            .any(|(domain, version)| *version > mine.assignment(domain));
-        let newer_hosts = self.told_hosts == HostDetail::Whole && digest.hosts > mine.hosts;
-        digest.fleet > mine.fleet || newer_hosts || newer_assignment
+            .any(|(domain, version)| *version > own.assignment(domain));
+        let newer_hosts = self.sent_detail == HostDetail::Full && digest.hosts > own.hosts;
+        digest.fleet > own.fleet || newer_hosts || newer_assignment
     }
 }
--- a/shalehinge/src/core/lease.rs
+++ b/shalehinge/src/core/lease.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct ControlLease {
     settings: LeaseSettings,
-    me: DaemonId,
+    own_id: DaemonId,
     incarnation: Incarnation,
     observation: Option<Observation>,
     pending: Option<PendingWrite>,
@@ -74,19 +74,19 @@
     era: Option<KnownEra>,
     /// End of this daemon's validity in the previous era; in the past if it did not hold the
     /// lease.
-    held_before_until: Timestamp,
+    former_valid_until: Timestamp,
     next_step_at: Timestamp,
     in_flight: bool,
     /// Freshness of the next read while the lease is not known.
-    first_read: Freshness,
+    next_read_freshness: Freshness,
 }
 
 impl ControlLease {
     /// Creates the state of a daemon that has not read the lease yet.
-    pub fn new(settings: LeaseSettings, me: DaemonId, incarnation: Incarnation) -> Self {
+    pub fn new(settings: LeaseSettings, own_id: DaemonId, incarnation: Incarnation) -> Self {
         Self {
             settings,
-            me,
+            own_id,
             incarnation,
             observation: None,
             pending: None,
@@ -94,10 +94,10 @@
             highest_epoch: Epoch(0),
             valid_until: Timestamp::ZERO,
             era: None,
-            held_before_until: Timestamp::ZERO,
+            former_valid_until: Timestamp::ZERO,
             next_step_at: Timestamp::ZERO,
             in_flight: false,
-            first_read: Freshness::MayBeStale,
+            next_read_freshness: Freshness::MayBeStale,
         }
     }
 
@@ -138,11 +138,11 @@
             return;
         }
         let is_held = self.held(now).is_some();
-        self.held_before_until = if is_held { self.valid_until } else { now };
+        self.former_valid_until = if is_held { self.valid_until } else { now };
         self.held_epoch = None;
         self.observation = None;
         self.pending = None;
-        self.first_read = Freshness::Exact;
+        self.next_read_freshness = Freshness::Exact;
         self.next_step_at = now;
     }
 
@@ -152,7 +152,7 @@
 
     /// Whether a lease that is missing or released may be taken at once, as no daemon can still
     /// hold one from a previous era.
-    fn is_unheld_for_sure(&self, now: Timestamp) -> bool {
+    fn is_certainly_unheld(&self, now: Timestamp) -> bool {
         let seen_at = self.era.and_then(|known| known.seen_at);
         let is_settled = seen_at.is_none_or(|seen_at| now.since(seen_at) >= self.settings.term);
         is_settled || self.may_resume(now)
@@ -160,7 +160,7 @@
 
     /// Whether this daemon held the lease when the era changed and its former term has not ended.
     fn may_resume(&self, now: Timestamp) -> bool {
-        now < self.held_before_until
+        now < self.former_valid_until
     }
 
     /// The next call, if one is due. `candidate` states whether this daemon should try to take
@@ -184,15 +184,15 @@
 
     fn choose_step(&mut self, now: Timestamp, operation: OperationId) -> LeaseStep {
         let Some(observation) = &self.observation else {
-            return LeaseStep::Read(self.first_read);
+            return LeaseStep::Read(self.next_read_freshness);
         };
         if self.pending.is_some() {
             return LeaseStep::Read(Freshness::Exact);
         }
-        let is_unheld_for_sure = self.is_unheld_for_sure(now);
+        let is_certainly_unheld = self.is_certainly_unheld(now);
         let next_epoch = self.highest_epoch.next_in(self.store_era());
         let Some(lease) = &observation.lease else {
-            if !is_unheld_for_sure {
+            if !is_certainly_unheld {
                 return LeaseStep::Read(Freshness::Exact);
             }
             let expect = Version::absent(self.store_era());
@@ -204,17 +204,17 @@
             return self.write(now, version, epoch, operation);
         }
         // The lease was last written before the restore.
-        let is_copied = epoch.is_before(self.store_era());
-        if self.may_resume(now) && is_copied {
+        let is_from_backup = epoch.is_before(self.store_era());
+        if self.may_resume(now) && is_from_backup {
             return self.write(now, version, next_epoch, operation);
         }
-        let is_lower = self.is_mine(&lease.value) && epoch < self.highest_epoch;
-        if is_lower && !is_copied {
+        let is_below_highest = self.is_own(&lease.value) && epoch < self.highest_epoch;
+        if is_below_highest && !is_from_backup {
             return self.write(now, version, next_epoch, operation);
         }
         let term = Duration::from_millis(lease.value.term_ms);
-        let lapsed = now.since(observation.changed_at) >= term;
-        if lapsed || lease.value.released && is_unheld_for_sure {
+        let is_expired = now.since(observation.changed_at) >= term;
+        if is_expired || lease.value.released && is_certainly_unheld {
             return self.write(now, version, next_epoch, operation);
         }
         // A stale answer only delays what this daemon sees of the holder's writes. A lease that
@@ -231,7 +231,7 @@
     ) -> LeaseStep {
         let record = LeaseRecord {
             operation,
-            holder: self.me.clone(),
+            holder: self.own_id.clone(),
             incarnation: self.incarnation,
             epoch,
             term_ms: self.settings.term.as_millis() as u64,
@@ -266,7 +266,7 @@
     pub fn on_read(&mut self, now: Timestamp, lease: Option<Versioned<LeaseRecord>>) {
         self.in_flight = false;
         if let Some(pending) = self.pending.take() {
-            self.settle(&pending, lease.as_ref());
+            self.resolve_pending(&pending, lease.as_ref());
         }
         if self.may_resume(now) {
             self.next_step_at = now;
@@ -302,15 +302,15 @@
         }
     }
 
-    fn is_mine(&self, lease: &LeaseRecord) -> bool {
-        lease.holder == self.me && lease.incarnation == self.incarnation
+    fn is_own(&self, lease: &LeaseRecord) -> bool {
+        lease.holder == self.own_id && lease.incarnation == self.incarnation
     }
 
     /// Decides a write of unknown outcome by the record that was read back.
-    fn settle(&mut self, pending: &PendingWrite, lease: Option<&Versioned<LeaseRecord>>) {
-        let ours = lease.is_some_and(|lease| lease.value.operation == pending.operation);
-        if ours {
-            self.hold(pending.record.epoch, pending.sent_at);
+    fn resolve_pending(&mut self, pending: &PendingWrite, lease: Option<&Versioned<LeaseRecord>>) {
+        let is_ours = lease.is_some_and(|lease| lease.value.operation == pending.operation);
+        if is_ours {
+            self.record_held(pending.record.epoch, pending.sent_at);
         }
     }
 
@@ -320,7 +320,7 @@
         let Some(pending) = self.pending.take() else {
             return;
         };
-        self.hold(pending.record.epoch, pending.sent_at);
+        self.record_held(pending.record.epoch, pending.sent_at);
         let lease = Versioned {
             version,
             value: pending.record,
@@ -336,21 +336,21 @@
         self.next_step_at = now;
         // The known record is out of date, so the next step reads.
         self.observation = None;
-        self.first_read = Freshness::Exact;
+        self.next_read_freshness = Freshness::Exact;
     }
 
     /// Handles a failed call, which may have taken effect.
-    pub fn on_unclear(&mut self) {
+    pub fn on_unknown_outcome(&mut self) {
         self.in_flight = false;
     }
 
     /// Records that this daemon holds the lease from `sent_at` until the term less the margin has
     /// passed.
-    fn hold(&mut self, epoch: Epoch, sent_at: Timestamp) {
-        let useful = self.settings.term.saturating_sub(self.settings.margin);
+    fn record_held(&mut self, epoch: Epoch, sent_at: Timestamp) {
+        let validity = self.settings.term.saturating_sub(self.settings.margin);
         self.held_epoch = (epoch >= self.highest_epoch).then_some(epoch);
         self.highest_epoch = self.highest_epoch.max(epoch);
-        self.valid_until = sent_at + useful;
+        self.valid_until = sent_at + validity;
     }
 
     /// Whether an answer is older than the known record.
@@ -366,13 +366,13 @@
         if self.is_older(lease.as_ref()) {
             return;
         }
-        let held_by_other = lease
+        let is_held_by_other = lease
             .as_ref()
-            .is_some_and(|lease| !self.is_mine(&lease.value));
+            .is_some_and(|lease| !self.is_own(&lease.value));
         if let Some(lease) = &lease {
             self.highest_epoch = self.highest_epoch.max(lease.value.epoch);
         }
-        if held_by_other {
+        if is_held_by_other {
             self.held_epoch = None;
         }
         let version_of =
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -22,10 +22,10 @@
 
 /// Number of counters of other failure domains in one message: enough that most members of a
 /// fleet of hundreds are seen alive, while messages stay small.
-const REMOTE_COUNTERS: usize = 32;
+const REMOTE_SAMPLE_SIZE: usize = 32;
 /// Maximum number of members sent in full in a reply because the requester does not know them or
 /// their latest revision. A daemon that starts knows a domain of 60 after a few pulls.
-const NEWS: usize = 16;
+const MAX_FULL_IN_REPLY: usize = 16;
 
 /// What daemons exchange about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This daemon.
-    Me,
+    ThisDaemon,
     /// The peer at this address.
     Peer(Address),
 }
@@ -108,14 +108,14 @@
 struct MemberState {
     heartbeat: Heartbeat,
     /// When the counter last advanced.
-    advanced_at: Timestamp,
+    last_advanced_at: Timestamp,
 }
 
 /// The members known to this daemon.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
-    me: Heartbeat,
+    own_heartbeat: Heartbeat,
     /// Configured addresses to pull from besides known members.
     seeds: Vec<Address>,
     members: BTreeMap<DaemonId, MemberState>,
@@ -126,14 +126,18 @@
 impl Membership {
     /// Creates a membership that knows this daemon only; `seeds` are the addresses to pull from
     /// first.
-    pub fn new(settings: MembershipSettings, me: Heartbeat, seeds: Vec<Address>) -> Self {
+    pub fn new(
+        settings: MembershipSettings,
+        own_heartbeat: Heartbeat,
+        seeds: Vec<Address>,
+    ) -> Self {
         let seeds = seeds
             .into_iter()
-            .filter(|seed| *seed != me.address)
+            .filter(|seed| *seed != own_heartbeat.address)
             .collect();
         Self {
             settings,
-            me,
+            own_heartbeat,
             seeds,
             members: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -142,34 +146,34 @@
     }
 
     /// The heartbeat of this daemon.
-    pub fn me(&self) -> &Heartbeat {
-        &self.me
+    pub fn own_heartbeat(&self) -> &Heartbeat {
+        &self.own_heartbeat
     }
 
     /// Sets the configuration version that peers see.
-    pub fn set_fleet(&mut self, version: FleetVersion) {
-        self.me.fleet = version;
-        self.me.revision += 1;
+    pub fn set_fleet_version(&mut self, version: FleetVersion) {
+        self.own_heartbeat.fleet = version;
+        self.own_heartbeat.revision += 1;
     }
 
     /// Sets whether peers see this daemon as the holder of control of its failure domain.
-    pub fn set_control(&mut self, holds_control: bool) {
-        self.me.holds_control = holds_control;
-        self.me.revision += 1;
+    pub fn set_holds_control(&mut self, holds_control: bool) {
+        self.own_heartbeat.holds_control = holds_control;
+        self.own_heartbeat.revision += 1;
     }
 
     /// Addresses of the live members that report to hold control of a failure domain.
     pub fn holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .filter(|peer| peer.holds_control && peer.failure_domain == *domain)
             .map(|peer| peer.address)
             .collect()
     }
 
     /// Marks this daemon as stopping.
-    pub fn leave(&mut self) {
-        self.me.leaving = true;
-        self.me.revision += 1;
+    pub fn mark_leaving(&mut self) {
+        self.own_heartbeat.leaving = true;
+        self.own_heartbeat.revision += 1;
     }
 
     /// The peer to pull from, if a pull is due. Also increments the own counter and removes
@@ -179,8 +183,8 @@
             return None;
         }
         self.next_pull_at = now + self.settings.interval;
-        self.me.counter += 1;
-        self.forget_dead(now);
+        self.own_heartbeat.counter += 1;
+        self.remove_expired(now);
         self.random_peer(now, rng)
     }
 
@@ -189,20 +193,22 @@
     /// detected; the more daemons there are, the more rarely each pulls from a seed.
     pub fn random_peer(&self, now: Timestamp, rng: &mut impl rand::Rng) -> Option<Address> {
         /// Upper bound of the probability that a pull goes to a seed.
-        const SEED_TURN: f64 = 0.1;
+        const MAX_SEED_PROBABILITY: f64 = 0.1;
         /// Pulls from seeds by the whole fleet in one round.
-        const SEED_PULLS: f64 = 1.5;
+        const SEED_PULLS_PER_ROUND: f64 = 1.5;
         /// Probability that a pull goes to the own failure domain.
-        const OWN_DOMAIN_TURN: f64 = 0.5;
-        let alive: Vec<&Heartbeat> = self.alive(now).collect();
-        let seed_turn = SEED_TURN.min(SEED_PULLS / (alive.len() as f64 + 1.0));
-        if alive.is_empty() || rng.random_bool(seed_turn) {
+        const OWN_DOMAIN_PROBABILITY: f64 = 0.5;
+        let alive: Vec<&Heartbeat> = self.live_peers(now).collect();
+        let seed_probability =
+            MAX_SEED_PROBABILITY.min(SEED_PULLS_PER_ROUND / (alive.len() as f64 + 1.0));
+        if alive.is_empty() || rng.random_bool(seed_probability) {
             let first = alive.first().map(|peer| peer.address);
             return self.seeds.choose(rng).copied().or(first);
         }
-        let own_domain = |peer: &&&Heartbeat| peer.failure_domain == self.me.failure_domain;
+        let own_domain =
+            |peer: &&&Heartbeat| peer.failure_domain == self.own_heartbeat.failure_domain;
         let own: Vec<&Heartbeat> = alive.iter().filter(own_domain).copied().collect();
-        let targets = if !own.is_empty() && rng.random_bool(OWN_DOMAIN_TURN) {
+        let targets = if !own.is_empty() && rng.random_bool(OWN_DOMAIN_PROBABILITY) {
             own
         } else {
             alive
@@ -210,52 +216,53 @@
         targets.choose(rng).map(|peer| peer.address)
     }
 
-    fn forget_dead(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let forget_after = self.settings.forget_after;
         self.members
-            .retain(|_, member| now.since(member.advanced_at) < forget_after);
+            .retain(|_, member| now.since(member.last_advanced_at) < forget_after);
         let members = &self.members;
         self.runs.retain(|_, daemon| members.contains_key(daemon));
     }
 
     /// Gossip for a message on another topic: the sender's heartbeat only.
-    pub fn greeting(&self) -> Gossip {
+    pub fn own_gossip(&self) -> Gossip {
         Gossip {
-            sender: self.me.clone(),
+            sender: self.own_heartbeat.clone(),
             members: Vec::new(),
             brief: Vec::new(),
         }
     }
 
-    /// Gossip for one message. `asked` is the gossip of the request, if this is the answer to it:
-    /// then it contains members that the requester does not know, or not at their latest
+    /// Gossip for one message. `request` is the gossip of the request, if this is the answer to
+    /// it: then it contains members that the requester does not know, or not at their latest
     /// revision.
     pub fn gossip(
         &self,
         now: Timestamp,
-        asked: Option<&Gossip>,
+        request: Option<&Gossip>,
         rng: &mut impl rand::Rng,
     ) -> Gossip {
-        let is_own = |peer: &&Heartbeat| peer.failure_domain == self.me.failure_domain;
-        let own: Vec<&Heartbeat> = self.alive(now).filter(is_own).collect();
-        let remote = self.alive(now).filter(|peer| !is_own(peer));
-        let remote = remote.choose_multiple(rng, REMOTE_COUNTERS);
+        let is_own = |peer: &&Heartbeat| peer.failure_domain == self.own_heartbeat.failure_domain;
+        let own: Vec<&Heartbeat> = self.live_peers(now).filter(is_own).collect();
+        let remote = self.live_peers(now).filter(|peer| !is_own(peer));
+        let remote = remote.choose_multiple(rng, REMOTE_SAMPLE_SIZE);
         let mut members: BTreeMap<&DaemonId, &Heartbeat> = self
-            .alive(now)
+            .live_peers(now)
             .choose_multiple(rng, self.settings.sample)
             .into_iter()
             .map(|peer| (&peer.daemon, peer))
             .collect();
         // Few daemons hold control, and reports of a loss must reach them.
-        let holders = self.alive(now).filter(|peer| peer.holds_control);
+        let holders = self.live_peers(now).filter(|peer| peer.holds_control);
         members.extend(holders.map(|peer| (&peer.daemon, peer)));
-        let asked = asked.filter(|asked| asked.sender.failure_domain == self.me.failure_domain);
-        if let Some(asked) = asked {
-            let news = news_for(asked, &own);
-            members.extend(news.map(|peer| (&peer.daemon, peer)));
+        let request = request
+            .filter(|request| request.sender.failure_domain == self.own_heartbeat.failure_domain);
+        if let Some(request) = request {
+            let unknown = unknown_to(request, &own);
+            members.extend(unknown.map(|peer| (&peer.daemon, peer)));
         }
         Gossip {
-            sender: self.me.clone(),
+            sender: self.own_heartbeat.clone(),
             members: members.into_values().cloned().collect(),
             brief: own.iter().chain(&remote).map(|peer| peer.brief()).collect(),
         }
@@ -264,8 +271,8 @@
     /// Merges the gossip of a peer; an older run or counter is ignored.
     pub fn merge(&mut self, now: Timestamp, gossip: Gossip) {
         for heartbeat in gossip.members.into_iter().chain([gossip.sender]) {
-            if heartbeat.daemon != self.me.daemon {
-                self.merge_whole(now, heartbeat);
+            if heartbeat.daemon != self.own_heartbeat.daemon {
+                self.merge_heartbeat(now, heartbeat);
             }
         }
         for brief in gossip.brief {
@@ -273,7 +280,7 @@
         }
     }
 
-    fn merge_whole(&mut self, now: Timestamp, heartbeat: Heartbeat) {
+    fn merge_heartbeat(&mut self, now: Timestamp, heartbeat: Heartbeat) {
         let run = heartbeat.run();
         let known = self.members.get_mut(&heartbeat.daemon);
         let Some(known) = known else {
@@ -291,7 +298,7 @@
         }
         let counter = heartbeat.counter.max(known.heartbeat.counter);
         if heartbeat.counter > known.heartbeat.counter {
-            known.advanced_at = now;
+            known.last_advanced_at = now;
         }
         if heartbeat.revision > known.heartbeat.revision {
             known.heartbeat = heartbeat;
@@ -302,7 +309,7 @@
     fn add(&mut self, now: Timestamp, run: RunId, heartbeat: Heartbeat) {
         let daemon = heartbeat.daemon.clone();
         let state = MemberState {
-            advanced_at: now,
+            last_advanced_at: now,
             heartbeat,
         };
         self.runs.insert(run, daemon.clone());
@@ -318,7 +325,7 @@
         let is_newer = brief.counter > member.heartbeat.counter;
         if member.heartbeat.run() == brief.run && is_newer {
             member.heartbeat.counter = brief.counter;
-            member.advanced_at = now;
+            member.last_advanced_at = now;
         }
     }
 
@@ -328,41 +335,41 @@
     pub fn fleet_size(&self, now: Timestamp) -> usize {
         let heartbeats = self.members.values().map(|member| &member.heartbeat);
         let known: BTreeSet<&FailureDomain> = heartbeats
-            .chain([&self.me])
+            .chain([&self.own_heartbeat])
             .map(|peer| &peer.failure_domain)
             .collect();
         let own = self
-            .alive(now)
-            .filter(|peer| peer.failure_domain == self.me.failure_domain);
+            .live_peers(now)
+            .filter(|peer| peer.failure_domain == self.own_heartbeat.failure_domain);
         let by_domain = (own.count() + 1) * known.len();
-        by_domain.max(self.alive(now).count() + 1)
+        by_domain.max(self.live_peers(now).count() + 1)
     }
 
     /// Live members other than this daemon.
-    pub fn alive(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
+    pub fn live_peers(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
         let dead_after = self.settings.dead_after;
         self.members
             .values()
-            .filter(move |member| now.since(member.advanced_at) < dead_after)
+            .filter(move |member| now.since(member.last_advanced_at) < dead_after)
             .map(|member| &member.heartbeat)
     }
 
     /// Live members of a failure domain that take duties, including this daemon.
-    pub fn on_duty<'a>(
+    pub fn duty_members<'a>(
         &'a self,
         now: Timestamp,
         domain: &'a FailureDomain,
     ) -> impl Iterator<Item = &'a DaemonId> {
-        self.alive(now)
-            .chain(std::iter::once(&self.me))
+        self.live_peers(now)
+            .chain(std::iter::once(&self.own_heartbeat))
             .filter(move |peer| peer.failure_domain == *domain && !peer.leaving)
             .map(|peer| &peer.daemon)
     }
 
     /// Members of the own failure domain by their rendezvous weight for a duty, highest first.
-    pub fn ranked(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
-        let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), usize::MAX)
+    pub fn ranked_members(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
+        let domain = &self.own_heartbeat.failure_domain;
+        hash::top(&duty, self.duty_members(now, domain), usize::MAX)
     }
 
     /// Whether any seed is configured.
@@ -372,36 +379,37 @@
 
     /// Whether this daemon is among the `count` members responsible for `duty` in its domain.
     pub fn is_responsible(&self, now: Timestamp, duty: &str, count: usize) -> bool {
-        let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), count).contains(&&self.me.daemon)
+        let domain = &self.own_heartbeat.failure_domain;
+        hash::top(&duty, self.duty_members(now, domain), count)
+            .contains(&&self.own_heartbeat.daemon)
     }
 
     /// The live member that decides on a subject in a failure domain. If no member of the domain
     /// is known, it is chosen among all members.
     pub fn owner(&self, now: Timestamp, domain: &FailureDomain, subject: &impl Hash) -> Owner {
-        let of_domain = hash::top(subject, self.on_duty(now, domain), 1);
+        let of_domain = hash::top(subject, self.duty_members(now, domain), 1);
         let owner = of_domain.into_iter().next().or_else(|| {
-            let all = self.alive(now).filter(|peer| !peer.leaving);
-            let all = all.chain([&self.me]).map(|peer| &peer.daemon);
+            let all = self.live_peers(now).filter(|peer| !peer.leaving);
+            let all = all.chain([&self.own_heartbeat]).map(|peer| &peer.daemon);
             hash::top(subject, all, 1).into_iter().next()
         });
         owner
             .and_then(|daemon| self.address_of(now, daemon))
-            .map_or(Owner::Me, Owner::Peer)
+            .map_or(Owner::ThisDaemon, Owner::Peer)
     }
 
     /// The live member of the fleet that decides on a subject. The subject selects a failure
     /// domain first, as members of one domain know each other.
     pub fn fleet_owner(&self, now: Timestamp, subject: &impl Hash) -> Owner {
-        let peers = self.alive(now).filter(|peer| !peer.leaving);
+        let peers = self.live_peers(now).filter(|peer| !peer.leaving);
         let domains: BTreeSet<&FailureDomain> = peers
             .map(|peer| &peer.failure_domain)
-            .chain([&self.me.failure_domain])
+            .chain([&self.own_heartbeat.failure_domain])
             .collect();
         let domain = hash::top(subject, domains.into_iter(), 1);
         domain
             .first()
-            .map_or(Owner::Me, |domain| self.owner(now, domain, subject))
+            .map_or(Owner::ThisDaemon, |domain| self.owner(now, domain, subject))
     }
 
     /// Addresses of the live peers that are responsible for `duty` in a failure domain.
@@ -412,7 +420,7 @@
         duty: &str,
         count: usize,
     ) -> Vec<Address> {
-        hash::top(&duty, self.on_duty(now, domain), count)
+        hash::top(&duty, self.duty_members(now, domain), count)
             .into_iter()
             .filter_map(|daemon| self.address_of(now, daemon))
             .collect()
@@ -420,7 +428,7 @@
 
     /// Address of a live peer.
     pub fn address_of(&self, now: Timestamp, daemon: &DaemonId) -> Option<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .find(|peer| peer.daemon == *daemon)
             .map(|peer| peer.address)
     }
@@ -433,29 +441,36 @@
     }
 
     /// Addresses of up to `count` random live peers.
-    pub fn some_peers(
+    pub fn random_peers(
         &self,
         now: Timestamp,
         count: usize,
         rng: &mut impl rand::Rng,
     ) -> Vec<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .map(|peer| peer.address)
             .choose_multiple(rng, count)
     }
 }
 
 /// Members that the requester does not know, or not at their latest revision.
-fn news_for<'a>(asked: &Gossip, members: &[&'a Heartbeat]) -> impl Iterator<Item = &'a Heartbeat> {
-    let known: BTreeMap<RunId, u64> = asked
+fn unknown_to<'a>(
+    request: &Gossip,
+    members: &[&'a Heartbeat],
+) -> impl Iterator<Item = &'a Heartbeat> {
+    let known: BTreeMap<RunId, u64> = request
         .brief
         .iter()
         .map(|brief| (brief.run, brief.revision))
         .collect();
-    let asker = asked.sender.daemon.clone();
-    let is_news = move |peer: &&Heartbeat| {
+    let requester = request.sender.daemon.clone();
+    let is_unknown = move |peer: &&Heartbeat| {
         let revision = known.get(&peer.run());
-        peer.daemon != asker && revision.is_none_or(|known| *known < peer.revision)
+        peer.daemon != requester && revision.is_none_or(|known| *known < peer.revision)
     };
-    members.iter().copied().filter(is_news).take(NEWS)
+    members
+        .iter()
+        .copied()
+        .filter(is_unknown)
+        .take(MAX_FULL_IN_REPLY)
 }
--- a/shalehinge/src/core/mod.rs
+++ b/shalehinge/src/core/mod.rs
@@ -12,7 +12,7 @@
 //! - `daemon`: the whole of a daemon's decisions
 //! - `feed`: one part of what the platform keeps, listed and watched
 //! - `superseded`: since when a newer configuration is known of
-//! - `whole_fetch`: whom a daemon asks for large objects
+//! - `object_fetch`: whom a daemon asks for large objects
 //! - `earlier_hosts`: hosts as an earlier era of the store reported them
 //! - `routable_hosts`: the part of the host list that routing needs
 //! - `fingerprint`: what a request asks, the same each time that it comes
@@ -46,6 +46,7 @@
 pub mod lease;
 pub mod membership;
 pub mod named_limit;
+pub mod object_fetch;
 pub mod objects;
 pub mod operator;
 pub mod permits;
@@ -60,4 +61,3 @@
 pub mod trials;
 pub mod types;
 pub mod version;
-pub mod whole_fetch;
--- a/shalehinge/src/core/whole_fetch.rs
+++ b/shalehinge/src/core/object_fetch.rs
@@ -13,35 +13,35 @@
 /// How long to wait for a peer in the own failure domain after a remote peer reported a newer
 /// version. A daemon that reads from the platform takes about 300 ms to read 0.5 MB over a link
 /// of 20 Mbit/s.
-const NEAR_FIRST: Duration = Duration::from_millis(400);
+const LOCAL_WAIT: Duration = Duration::from_millis(400);
 
 /// Whether a peer is in the own failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Distance {
+pub enum Locality {
     /// In the own failure domain, or this daemon has no objects yet.
-    Near,
+    Local,
     /// In another failure domain.
-    Far,
+    Remote,
 }
 
 /// The state of one daemon's fetch of objects.
 #[derive(Clone, Debug, Default)]
-pub struct WholeFetch {
-    is_open: bool,
+pub struct ObjectFetch {
+    is_running: bool,
     /// The peer in the own failure domain that last reported a newer version.
-    near: Option<Address>,
+    local: Option<Address>,
     /// The remote peer that last reported a newer version, and when the first of them did.
-    far: Option<(Address, Timestamp)>,
+    remote: Option<(Address, Timestamp)>,
 }
 
-impl WholeFetch {
+impl ObjectFetch {
     /// Records that a peer has a newer version.
-    pub fn hear(&mut self, now: Timestamp, from: Address, distance: Distance) {
-        match distance {
-            Distance::Near => self.near = Some(from),
-            Distance::Far => {
-                let since = self.far.map_or(now, |(_, since)| since);
-                self.far = Some((from, since));
+    pub fn note_newer_version(&mut self, now: Timestamp, from: Address, locality: Locality) {
+        match locality {
+            Locality::Local => self.local = Some(from),
+            Locality::Remote => {
+                let since = self.remote.map_or(now, |(_, since)| since);
+                self.remote = Some((from, since));
             }
         }
     }
@@ -49,21 +49,21 @@
     /// Starts a fetch if none is running, and returns the peer to fetch from: the last one that
     /// reported a newer version, with preference for the own failure domain.
     pub fn begin(&mut self, now: Timestamp) -> Option<Address> {
-        if self.is_open {
+        if self.is_running {
             return None;
         }
-        let far = self
-            .far
-            .filter(|(_, since)| now.since(*since) >= NEAR_FIRST);
-        let from = self.near.or(far.map(|(from, _)| from))?;
-        self.near = None;
-        self.far = None;
-        self.is_open = true;
+        let remote = self
+            .remote
+            .filter(|(_, since)| now.since(*since) >= LOCAL_WAIT);
+        let from = self.local.or(remote.map(|(from, _)| from))?;
+        self.local = None;
+        self.remote = None;
+        self.is_running = true;
         Some(from)
     }
 
     /// Records that the fetch was answered or given up.
     pub fn end(&mut self) {
-        self.is_open = false;
+        self.is_running = false;
     }
 }
--- a/shalehinge/src/core/permits.rs
+++ b/shalehinge/src/core/permits.rs
@@ -16,31 +16,31 @@
 
 /// How long an owner keeps a daemon's permit request. It is longer than the interval between two
 /// requests of a daemon, so that the daemon at the end of the queue keeps its place.
-const QUESTION_TIME: Duration = Duration::from_millis(2_500);
+const REQUEST_LIFETIME: Duration = Duration::from_millis(2_500);
 /// How long a permit is valid after it was received, and the interval between two permit requests
 /// of a daemon with waiting requests.
-pub const PERMIT_TIME: Duration = Duration::from_secs(1);
+pub const PERMIT_LIFETIME: Duration = Duration::from_secs(1);
 /// Unused permits that may accumulate beyond the first one, in seconds of the rate.
-const SAVED_SECONDS: f64 = 0.5;
+const BURST_SECONDS: f64 = 0.5;
 /// Lowest effective rate in requests per second: without any request, no answer could end a limit
 /// of 0.
-const LEAST_RATE: f64 = 0.25;
+const MIN_RATE: f64 = 0.25;
 /// Minimum interval between two broadcasts on one upstream, as an upstream may start or end its
 /// limit in every answer.
-const TOLD_SPACING: Duration = Duration::from_secs(1);
+const BROADCAST_INTERVAL: Duration = Duration::from_secs(1);
 /// A limit is removed if no daemon has reported it or asked for it for this time.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const IDLE_EXPIRY: Duration = Duration::from_secs(60);
 /// Maximum number of upstreams whose limits are tracked.
-const MOST_UPSTREAMS: usize = 4_096;
+const MAX_UPSTREAMS: usize = 4_096;
 
 /// Rate at which permits are granted for this limit, in requests per second.
-pub fn effective(limit: RequestRate) -> f64 {
-    limit.get().max(LEAST_RATE)
+pub fn effective_rate(limit: RequestRate) -> f64 {
+    limit.get().max(MIN_RATE)
 }
 
 /// Maximum number of unused permits at this limit.
-pub fn at_once(limit: RequestRate) -> f64 {
-    1.0 + effective(limit) * SAVED_SECONDS
+pub fn burst_size(limit: RequestRate) -> f64 {
+    1.0 + effective_rate(limit) * BURST_SECONDS
 }
 
 /// What a daemon knows of an upstream's limit.
@@ -63,7 +63,7 @@
 pub struct PermitRequest {
     /// What the requesting daemon knows of the limit.
     pub known: LimitReport,
-    /// Number of permits that it can use within [`PERMIT_TIME`].
+    /// Number of permits that it can use within [`PERMIT_LIFETIME`].
     pub wanted: u32,
 }
 
@@ -78,7 +78,7 @@
 
 /// A limit, or its absence, with the time at which it was stated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Known {
+struct LimitState {
     started: Option<EngineStart>,
     rate: Option<RequestRate>,
     as_of: Timestamp,
@@ -101,8 +101,8 @@
     }
 
     fn fill(&mut self, now: Timestamp, rate: RequestRate) {
-        let passed = now.since(self.filled_at).as_secs_f64();
-        self.tokens = (self.tokens + passed * effective(rate)).min(at_once(rate));
+        let elapsed = now.since(self.filled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * effective_rate(rate)).min(burst_size(rate));
         self.filled_at = self.filled_at.max(now);
     }
 
@@ -116,7 +116,7 @@
 
 /// A daemon waiting for permits.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct PermitWaiter {
     daemon: Address,
     wanted: u32,
     asked_at: Timestamp,
@@ -126,21 +126,21 @@
 #[derive(Clone, Debug)]
 struct OwnedLimit {
     failure_domain: FailureDomain,
-    known: Known,
+    known: LimitState,
     bucket: TokenBucket,
     /// Waiting daemons in the order of their first request.
-    waiting: Vec<Waiting>,
+    waiters: Vec<PermitWaiter>,
     /// Whether the last broadcast stated a limit.
-    told: bool,
+    was_limit_broadcast: bool,
     /// Time of the last broadcast.
-    told_at: Option<Timestamp>,
+    broadcast_at: Option<Timestamp>,
     /// When a daemon last reported on the limit.
-    used_at: Timestamp,
+    last_report_at: Timestamp,
 }
 
 /// Permits granted to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Granted {
+pub struct DaemonGrant {
     /// The daemon that receives the permits.
     pub daemon: Address,
     /// The permits.
@@ -154,28 +154,28 @@
 }
 
 impl PermitOwner {
-    /// Records a report whose age is relative to `told_at`. Reports on an older state are
+    /// Records a report whose age is relative to `reported_at`. Reports on an older state are
     /// ignored.
-    pub fn learn(&mut self, now: Timestamp, told_at: Timestamp, report: &LimitReport) {
-        let known = Known {
+    pub fn record_report(&mut self, now: Timestamp, reported_at: Timestamp, report: &LimitReport) {
+        let known = LimitState {
             started: report.started,
             rate: report.rate,
-            as_of: told_at.minus(Duration::from_millis(report.ms_ago)),
+            as_of: reported_at.minus(Duration::from_millis(report.ms_ago)),
         };
         let Some(owned) = self.limits.get_mut(&report.upstream) else {
-            if self.limits.len() < MOST_UPSTREAMS {
+            if self.limits.len() < MAX_UPSTREAMS {
                 let domain = report.failure_domain.clone();
                 let owned = OwnedLimit::new(now, domain, known);
                 self.limits.insert(report.upstream.clone(), owned);
             }
             return;
         };
-        owned.used_at = now;
+        owned.last_report_at = now;
         if known.as_of < owned.known.as_of {
             return;
         }
-        let is_same_life = !EngineStart::differ(known.started, owned.known.started);
-        match owned.known.rate.filter(|_| is_same_life) {
+        let is_same_start = !EngineStart::differ(known.started, owned.known.started);
+        match owned.known.rate.filter(|_| is_same_start) {
             // The time until now counts at the previous rate.
             Some(rate) => owned.bucket.fill(now, rate),
             None => owned.bucket = TokenBucket::empty(now),
@@ -185,25 +185,35 @@
 
     /// Queues a daemon's request for permits. A later request of the same daemon replaces the
     /// earlier one and keeps its place.
-    pub fn ask(&mut self, now: Timestamp, daemon: Address, upstream: &UpstreamId, wanted: u32) {
+    pub fn queue_request(
+        &mut self,
+        now: Timestamp,
+        daemon: Address,
+        upstream: &UpstreamId,
+        wanted: u32,
+    ) {
         let Some(owned) = self.limits.get_mut(upstream) else {
             return;
         };
-        let question = Waiting {
+        let waiter = PermitWaiter {
             daemon,
             wanted,
             asked_at: now,
         };
-        match owned.waiting.iter_mut().find(|w| w.daemon == daemon) {
-            Some(known) => *known = question,
-            None => owned.waiting.push(question),
+        match owned
+            .waiters
+            .iter_mut()
+            .find(|waiter| waiter.daemon == daemon)
+        {
+            Some(known) => *known = waiter,
+            None => owned.waiters.push(waiter),
         }
     }
 
     /// Grants the available permits in the order of the requests.
-    pub fn grant(&mut self, now: Timestamp) -> Vec<Granted> {
+    pub fn grant(&mut self, now: Timestamp) -> Vec<DaemonGrant> {
         self.limits
-            .retain(|_, owned| now.since(owned.used_at) < FORGET_AFTER);
+            .retain(|_, owned| now.since(owned.last_report_at) < IDLE_EXPIRY);
         let mut granted = Vec::new();
         for (upstream, owned) in &mut self.limits {
             owned.grant(now, upstream, &mut granted);
@@ -220,31 +230,33 @@
 
     /// Returns the limits that started or ended since the last broadcast and are due for another
     /// one.
-    pub fn news(&mut self, now: Timestamp) -> Vec<LimitReport> {
-        let mut news = Vec::new();
+    pub fn take_due_broadcasts(&mut self, now: Timestamp) -> Vec<LimitReport> {
+        let mut due = Vec::new();
         for (upstream, owned) in &mut self.limits {
             let is_limited = owned.known.rate.is_some();
-            let is_due = owned.told_at.is_none_or(|at| now.since(at) >= TOLD_SPACING);
-            if is_limited != owned.told && is_due {
-                owned.told = is_limited;
-                owned.told_at = Some(now);
-                news.push(owned.report(now, upstream));
+            let is_due = owned
+                .broadcast_at
+                .is_none_or(|at| now.since(at) >= BROADCAST_INTERVAL);
+            if is_limited != owned.was_limit_broadcast && is_due {
+                owned.was_limit_broadcast = is_limited;
+                owned.broadcast_at = Some(now);
+                due.push(owned.report(now, upstream));
             }
         }
-        news
+        due
     }
 }
 
 impl OwnedLimit {
-    fn new(now: Timestamp, failure_domain: FailureDomain, known: Known) -> Self {
+    fn new(now: Timestamp, failure_domain: FailureDomain, known: LimitState) -> Self {
         Self {
             failure_domain,
             known,
             bucket: TokenBucket::empty(now),
-            waiting: Vec::new(),
-            told: false,
-            told_at: None,
-            used_at: now,
+            waiters: Vec::new(),
+            was_limit_broadcast: false,
+            broadcast_at: None,
+            last_report_at: now,
         }
     }
 
@@ -258,27 +270,27 @@
         }
     }
 
-    fn grant(&mut self, now: Timestamp, upstream: &UpstreamId, granted: &mut Vec<Granted>) {
-        self.waiting
-            .retain(|waiting| now.since(waiting.asked_at) < QUESTION_TIME);
+    fn grant(&mut self, now: Timestamp, upstream: &UpstreamId, granted: &mut Vec<DaemonGrant>) {
+        self.waiters
+            .retain(|waiter| now.since(waiter.asked_at) < REQUEST_LIFETIME);
         let Some(rate) = self.known.rate else {
-            self.waiting.clear();
+            self.waiters.clear();
             return;
         };
         self.bucket.fill(now, rate);
-        while let Some(first) = self.waiting.first() {
+        while let Some(first) = self.waiters.first() {
             let count = self.bucket.take(first.wanted);
             if count == 0 {
                 return;
             }
-            granted.push(Granted {
+            granted.push(DaemonGrant {
                 daemon: first.daemon,
                 grant: PermitGrant {
                     upstream: upstream.clone(),
                     count,
                 },
             });
-            self.waiting.remove(0);
+            self.waiters.remove(0);
         }
     }
 }
--- a/shalehinge/src/core/routable_hosts.rs
+++ b/shalehinge/src/core/routable_hosts.rs
@@ -14,7 +14,7 @@
 
 /// Maximum number of logged changes: about ten seconds of changes in a large fleet. Peers that
 /// ask later receive the whole routable part.
-const MOST_REMEMBERED: usize = 128;
+const MAX_LOGGED_CHANGES: usize = 128;
 
 /// Changes to the routable part of the host list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 }
 
 /// Returns the changes to the routable part between two lists.
-pub fn difference(old: &HostList, new: &HostList) -> HostChanges {
+pub fn routable_difference(old: &HostList, new: &HostList) -> HostChanges {
     let (old, new) = (routable_hosts(old).hosts, routable_hosts(new).hosts);
     let removed = old.keys().filter(|id| !new.contains_key(id));
     HostChanges {
@@ -58,24 +58,27 @@
 }
 
 /// Returns the effect of changes to a list on its routable part.
-pub fn of_changes(known: &HostList, changes: &HostChanges) -> HostChanges {
-    let was = |id: &HostId| known.hosts.get(id).and_then(routable);
-    let mut of_routing = HostChanges::default();
+pub fn routable_changes(known: &HostList, changes: &HostChanges) -> HostChanges {
+    let routable_before = |id: &HostId| known.hosts.get(id).and_then(routable);
+    let mut effect = HostChanges::default();
     for (id, record) in &changes.changed {
-        let (was, is) = (was(id), routable(record));
-        match is {
-            Some(record) if was.as_ref() != Some(&record) => {
-                of_routing.changed.insert(id.clone(), record);
+        let (before, after) = (routable_before(id), routable(record));
+        match after {
+            Some(record) if before.as_ref() != Some(&record) => {
+                effect.changed.insert(id.clone(), record);
             }
-            None if was.is_some() => {
-                of_routing.removed.insert(id.clone());
+            None if before.is_some() => {
+                effect.removed.insert(id.clone());
             }
             _ => {}
         }
     }
-    let gone = changes.removed.iter().filter(|id| was(id).is_some());
-    of_routing.removed.extend(gone.cloned());
-    of_routing
+    let removed = changes
+        .removed
+        .iter()
+        .filter(|id| routable_before(id).is_some());
+    effect.removed.extend(removed.cloned());
+    effect
 }
 
 /// The latest changes, each with the version that it led to.
@@ -100,7 +103,7 @@
             return;
         }
         self.changes.push_back((version, changes));
-        while self.changes.len() > MOST_REMEMBERED {
+        while self.changes.len() > MAX_LOGGED_CHANGES {
             if let Some((version, _)) = self.changes.pop_front() {
                 self.complete_after = version;
             }
--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::core::named_limit::{NamedLimit, RequestRate};
-use crate::core::permits::{LimitReport, PermitGrant, at_once, effective};
+use crate::core::permits::{LimitReport, PermitGrant, burst_size, effective_rate};
 use crate::core::signal::UpstreamSignal;
 use crate::core::types::{EngineStart, Timestamp};
 
@@ -125,8 +125,8 @@
             let Some(limit) = upstream.limit.rate() else {
                 return Duration::ZERO;
             };
-            rate += effective(limit);
-            at_start += at_once(limit);
+            rate += effective_rate(limit);
+            at_start += burst_size(limit);
         }
         let waits = self.queue.len() as f64 + 1.0 - at_start;
         if rate <= 0.0 || waits <= 0.0 {
--- a/shalehinge/src/core/router/named.rs
+++ b/shalehinge/src/core/router/named.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::core::named_limit::{NamedLimit, RequestRate};
-use crate::core::permits::PERMIT_TIME;
+use crate::core::permits::PERMIT_LIFETIME;
 use crate::core::types::Timestamp;
 
 /// A limit that differs by less from the one in the last log line makes no other line.
@@ -53,7 +53,7 @@
             left: 0,
             until: Timestamp::ZERO,
             asked_at: None,
-            pause: PERMIT_TIME,
+            pause: PERMIT_LIFETIME,
             wanted: 1,
         }
     }
@@ -151,7 +151,7 @@
         }
         let permits = &mut self.permits;
         let pause = match urgency {
-            Urgency::Waited => PERMIT_TIME,
+            Urgency::Waited => PERMIT_LIFETIME,
             Urgency::Spare => permits.pause,
         };
         if permits.asked_at.is_some_and(|at| now.since(at) < pause) {
@@ -173,14 +173,14 @@
     pub fn on_granted(&mut self, now: Timestamp, count: u32) {
         let permits = &mut self.permits;
         permits.left = count;
-        permits.until = now + PERMIT_TIME;
+        permits.until = now + PERMIT_LIFETIME;
         permits.asked_at = None;
-        permits.pause = PERMIT_TIME;
+        permits.pause = PERMIT_LIFETIME;
     }
 
     /// Whether permits were asked for lately and did not come yet.
     pub fn awaits_permits(&self, now: Timestamp) -> bool {
         let asked_at = self.permits.asked_at;
-        asked_at.is_some_and(|at| now.since(at) < PERMIT_TIME)
+        asked_at.is_some_and(|at| now.since(at) < PERMIT_LIFETIME)
     }
 }
--- a/shalehinge/src/core/trials.rs
+++ b/shalehinge/src/core/trials.rs
@@ -16,9 +16,9 @@
 use super::types::Timestamp;
 
 /// A trial without a reported result ends after this time.
-const TRIAL_TIME: Duration = Duration::from_secs(5);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum number of concurrent trials; further requests wait.
-const MOST_TRIALS: usize = 1_024;
+const MAX_TRIALS: usize = 1_024;
 
 /// A daemon's request to try a request that it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,11 +56,11 @@
 impl TrialOwner {
     /// Grants a trial if the request is not being tried and a candidate is free. At most one
     /// trial runs per request and per upstream at a time.
-    pub fn ask(&mut self, now: Timestamp, request: &TrialRequest) -> Option<TrialGrant> {
+    pub fn try_grant(&mut self, now: Timestamp, request: &TrialRequest) -> Option<TrialGrant> {
         self.trials
-            .retain(|_, trial| now.since(trial.granted_at) < TRIAL_TIME);
+            .retain(|_, trial| now.since(trial.granted_at) < TRIAL_TIMEOUT);
         let fingerprint = request.fingerprint;
-        if self.trials.contains_key(&fingerprint) || self.trials.len() >= MOST_TRIALS {
+        if self.trials.contains_key(&fingerprint) || self.trials.len() >= MAX_TRIALS {
             return None;
         }
         let is_free = |upstream: &&UpstreamId| {
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -272,8 +272,8 @@
 fn daemons(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
     let membership = core.membership();
     let everyone = membership
-        .alive(now)
-        .chain(std::iter::once(membership.me()));
+        .live_peers(now)
+        .chain(std::iter::once(membership.own_heartbeat()));
     let mut daemons: Vec<DaemonStatus> = everyone
         .map(|peer| DaemonStatus {
             daemon: peer.daemon.clone(),
--- a/shalehinge/tests/claims.rs
+++ b/shalehinge/tests/claims.rs
@@ -2,44 +2,44 @@
 
 use std::time::Duration;
 
-use shalehinge::core::claims::{ClaimBook, ClaimResult, ClaimStep};
+use shalehinge::core::claims::{ClaimResult, ClaimStep, ClaimTracker};
 use shalehinge::core::objects::{Claim, ClaimPartition, ClaimState, KeyHash, Versioned};
 use shalehinge::core::types::{OperationId, RequestId, Timestamp, Version};
 use shalehinge::settings::claims::ClaimSettings;
 
 const KEY: KeyHash = KeyHash(1);
-const WALL: u64 = 1_000_000;
+const WALL_SECONDS: u64 = 1_000_000;
 
 /// A claim table with one partition, and the current time.
-struct Book {
-    book: ClaimBook,
+struct Fixture {
+    tracker: ClaimTracker,
     now: Timestamp,
 }
 
-impl Book {
+impl Fixture {
     fn new() -> Self {
         let settings = ClaimSettings {
             partitions: 1,
             ..ClaimSettings::default()
         };
         Self {
-            book: ClaimBook::new(settings),
+            tracker: ClaimTracker::new(settings),
             now: Timestamp::from_millis(1_000),
         }
     }
 
     fn claim(&mut self, number: u64) {
         let (request, claimant) = (RequestId(number), OperationId(number));
-        self.book.claim(self.now, request, KEY, claimant);
+        self.tracker.claim(self.now, request, KEY, claimant);
     }
 
     fn poll_after(&mut self, time: Duration) -> (Vec<ClaimStep>, Vec<(RequestId, ClaimResult)>) {
         self.now = self.now + time;
-        self.book.poll(self.now, WALL)
+        self.tracker.poll(self.now, WALL_SECONDS)
     }
 
     /// Returns the value of the next step, which must be a write.
-    fn write(&mut self) -> ClaimPartition {
+    fn next_write(&mut self) -> ClaimPartition {
         let (steps, _) = self.poll_after(Duration::from_millis(100));
         match steps.into_iter().next() {
             Some(ClaimStep::Write { value, .. }) => value,
@@ -47,7 +47,7 @@
         }
     }
 
-    fn read(&mut self) {
+    fn expect_read(&mut self) {
         let (steps, _) = self.poll_after(Duration::from_millis(100));
         assert_eq!(steps, [ClaimStep::Read(0)]);
     }
@@ -58,7 +58,7 @@
     for (claimant, state) in claims {
         let claim = Claim {
             claimant: OperationId(*claimant),
-            claimed_at: WALL,
+            claimed_at: WALL_SECONDS,
             state: *state,
         };
         value.claims.insert(KEY, claim);
@@ -69,86 +69,86 @@
 
 #[test]
 fn a_key_is_granted_once_its_write_took_effect() {
-    let mut book = Book::new();
-    book.claim(7);
-    book.read();
-    assert_eq!(book.book.on_read(0, None), []);
-    assert_eq!(book.write().claims[&KEY].claimant, OperationId(7));
-    let results = book.book.on_written(0, Version::without_era(1));
+    let mut fixture = Fixture::new();
+    fixture.claim(7);
+    fixture.expect_read();
+    assert_eq!(fixture.tracker.on_read(0, None), []);
+    assert_eq!(fixture.next_write().claims[&KEY].claimant, OperationId(7));
+    let results = fixture.tracker.on_written(0, Version::without_era(1));
     assert_eq!(results, [(RequestId(7), ClaimResult::Granted)]);
 }
 
 #[test]
-fn after_an_unclear_write_the_claimant_in_the_object_decides() {
+fn after_a_write_of_unknown_outcome_the_stored_claimant_decides() {
     for (found, expected) in [
         (7, ClaimResult::Granted),
         (8, ClaimResult::InProgressOrUnknown),
     ] {
-        let mut book = Book::new();
-        book.claim(7);
-        book.read();
-        book.book.on_read(0, None);
-        book.write();
-        book.book.on_unclear(0);
-        book.read();
+        let mut fixture = Fixture::new();
+        fixture.claim(7);
+        fixture.expect_read();
+        fixture.tracker.on_read(0, None);
+        fixture.next_write();
+        fixture.tracker.on_call_failed(0);
+        fixture.expect_read();
         let state = ClaimState::Claimed;
-        let results = book.book.on_read(0, partition(1, &[(found, state)]));
+        let results = fixture.tracker.on_read(0, partition(1, &[(found, state)]));
         assert_eq!(results, [(RequestId(7), expected)]);
     }
 }
 
 #[test]
-fn a_key_whose_request_completed_is_told_so() {
-    let mut book = Book::new();
-    book.claim(7);
-    book.read();
-    let results = book
-        .book
+fn a_claim_of_a_completed_key_reports_completed() {
+    let mut fixture = Fixture::new();
+    fixture.claim(7);
+    fixture.expect_read();
+    let results = fixture
+        .tracker
         .on_read(0, partition(3, &[(8, ClaimState::Completed)]));
     assert_eq!(results, [(RequestId(7), ClaimResult::Completed)]);
 }
 
 #[test]
-fn a_claim_that_was_given_up_while_its_write_was_on_its_way_is_taken_back() {
-    let mut book = Book::new();
-    book.claim(7);
-    book.read();
-    book.book.on_read(0, None);
-    book.write();
-    let (_, results) = book.poll_after(Duration::from_secs(3));
+fn a_claim_that_times_out_during_its_write_is_withdrawn() {
+    let mut fixture = Fixture::new();
+    fixture.claim(7);
+    fixture.expect_read();
+    fixture.tracker.on_read(0, None);
+    fixture.next_write();
+    let (_, results) = fixture.poll_after(Duration::from_secs(3));
     assert_eq!(results, [(RequestId(7), ClaimResult::Unavailable)]);
-    assert_eq!(book.book.on_written(0, Version::without_era(1)), []);
-    assert!(book.write().claims.is_empty());
+    assert_eq!(fixture.tracker.on_written(0, Version::without_era(1)), []);
+    assert!(fixture.next_write().claims.is_empty());
 }
 
 #[test]
-fn claims_that_wait_share_one_write() {
-    let mut book = Book::new();
+fn queued_claims_share_one_write() {
+    let mut fixture = Fixture::new();
     for number in 0..50 {
         let (request, claimant) = (RequestId(number), OperationId(number));
         let key = KeyHash(u128::from(number));
-        book.book.claim(book.now, request, key, claimant);
+        fixture.tracker.claim(fixture.now, request, key, claimant);
     }
-    book.read();
-    book.book.on_read(0, None);
-    assert_eq!(book.write().claims.len(), 50);
+    fixture.expect_read();
+    fixture.tracker.on_read(0, None);
+    assert_eq!(fixture.next_write().claims.len(), 50);
 }
 
 #[test]
-fn an_old_claim_is_forgotten() {
-    let mut book = Book::new();
-    book.claim(7);
-    book.read();
+fn expired_claims_are_removed() {
+    let mut fixture = Fixture::new();
+    fixture.claim(7);
+    fixture.expect_read();
     let mut old = partition(3, &[(8, ClaimState::Completed)]).expect("claim is present");
     let day = 24 * 3_600;
     for claim in old.value.claims.values_mut() {
-        claim.claimed_at = WALL - day - 1;
+        claim.claimed_at = WALL_SECONDS - day - 1;
     }
     let other = KeyHash(2);
     let claim = old.value.claims.remove(&KEY).expect("claim is present");
     old.value.claims.insert(other, claim);
-    book.book.on_read(0, Some(old));
-    let written = book.write();
+    fixture.tracker.on_read(0, Some(old));
+    let written = fixture.next_write();
     assert!(!written.claims.contains_key(&other));
     assert!(written.claims.contains_key(&KEY));
 }
--- a/shalehinge/tests/demand.rs
+++ b/shalehinge/tests/demand.rs
@@ -27,7 +27,7 @@
 
 /// A daemon's counts after ten seconds at `per_second` requests per second, each answered with
 /// thirty outputs.
-fn counted(per_second: u64, prompt_tokens: u32) -> Demand {
+fn demand_at_rate(per_second: u64, prompt_tokens: u32) -> Demand {
     let mut demand = Demand::default();
     for request in 0..10 * per_second {
         let now = at(1_000 + request * 1_000 / per_second);
@@ -42,81 +42,85 @@
     demand.reports(now, &daemon(number), &mut rng)
 }
 
-fn about(value: f64, expected: f64) -> bool {
+fn is_close(value: f64, expected: f64) -> bool {
     (value / expected - 1.0).abs() < 0.1
 }
 
 #[test]
-fn the_fleets_work_is_that_of_the_daemons_heard_of_times_all() {
+fn fleet_work_scales_the_sampled_daemons_to_the_fleet_size() {
     let now = at(11_000);
-    let mut holder = counted(4, 700);
+    let mut holder = demand_at_rate(4, 700);
     for number in 1..10 {
-        let other = counted(8, 700);
+        let other = demand_at_rate(8, 700);
         holder.merge(now, &daemon(0), reports(&other, now, number));
     }
-    let work = holder.of_fleet(now, 20);
+    let work = holder.fleet_work(now, 20);
     let small = work.per_second[&model(SMALL)];
-    assert!(about(small.requests, 20.0 * 7.6), "{small:?}");
+    assert!(is_close(small.requests, 20.0 * 7.6), "{small:?}");
     assert!(
-        about(small.prompt_tokens, small.requests * 700.0),
+        is_close(small.prompt_tokens, small.requests * 700.0),
         "{small:?}"
     );
     assert!(
-        about(small.expected_outputs(), small.requests * 30.0),
+        is_close(small.expected_outputs(), small.requests * 30.0),
         "{small:?}"
     );
 }
 
 #[test]
-fn what_was_heard_long_ago_counts_for_less_and_then_not_at_all() {
+fn old_reports_lose_weight_and_then_expire() {
     let mut holder = Demand::default();
-    let heard_at = at(11_000);
+    let received_at = at(11_000);
     holder.merge(
-        heard_at,
+        received_at,
         &daemon(0),
-        reports(&counted(20, 700), heard_at, 1),
+        reports(&demand_at_rate(20, 700), received_at, 1),
     );
     let sampled = |later: u64| {
-        let now = heard_at + Duration::from_secs(later);
-        holder.of_fleet(now, 1).sampled_requests
+        let now = received_at + Duration::from_secs(later);
+        holder.fleet_work(now, 1).sampled_requests
     };
     assert!(sampled(8) < sampled(0) / 2.0);
-    let rate = holder.of_fleet(heard_at + Duration::from_secs(8), 1);
+    let rate = holder.fleet_work(received_at + Duration::from_secs(8), 1);
     let requests = rate.per_second[&model(SMALL)].requests;
     assert!(
-        about(requests, 20.0),
+        is_close(requests, 20.0),
         "the rate must not decay with its weight: {requests}"
     );
-    let later = heard_at + Duration::from_secs(30);
+    let later = received_at + Duration::from_secs(30);
     holder.merge(later, &daemon(0), Vec::new());
-    assert_eq!(holder.of_fleet(later, 1), FleetWork::default());
+    assert_eq!(holder.fleet_work(later, 1), FleetWork::default());
 }
 
 #[test]
-fn counts_that_come_round_again_are_taken_once_and_own_ones_never() {
+fn older_duplicate_reports_and_reports_on_oneself_are_ignored() {
     let now = at(11_000);
-    let mut holder = counted(5, 700);
-    let own_alone = holder.of_fleet(now, 1).sampled_requests;
+    let mut holder = demand_at_rate(5, 700);
+    let own_alone = holder.fleet_work(now, 1).sampled_requests;
     let own = reports(&holder, now, 0);
     holder.merge(now, &daemon(0), own);
-    assert_eq!(holder.of_fleet(now, 1).sampled_requests, own_alone);
-    let peer = reports(&counted(5, 700), now, 1);
+    assert_eq!(holder.fleet_work(now, 1).sampled_requests, own_alone);
+    let peer = reports(&demand_at_rate(5, 700), now, 1);
     holder.merge(now, &daemon(0), peer.clone());
-    let with_peer = holder.of_fleet(now, 1).sampled_requests;
+    let with_peer = holder.fleet_work(now, 1).sampled_requests;
     let older = peer.into_iter().map(|report| WorkReport {
         ms_ago: 500,
         ..report
     });
     holder.merge(now, &daemon(0), older.collect());
-    assert_eq!(holder.of_fleet(now, 1).sampled_requests, with_peer);
+    assert_eq!(holder.fleet_work(now, 1).sampled_requests, with_peer);
 }
 
 #[test]
 fn a_message_stays_small_in_a_large_fleet() {
     let now = at(11_000);
-    let mut holder = counted(5, 700);
+    let mut holder = demand_at_rate(5, 700);
     for number in 1..300 {
-        holder.merge(now, &daemon(0), reports(&counted(2, 700), now, number));
+        holder.merge(
+            now,
+            &daemon(0),
+            reports(&demand_at_rate(2, 700), now, number),
+        );
     }
     assert!(reports(&holder, now, 0).len() <= 17);
 }
@@ -155,7 +159,7 @@
 }
 
 #[test]
-fn a_replica_is_busy_reading_prompts_and_bringing_output() {
+fn needs_include_prompt_processing_and_output_generation() {
     let work = FleetWork {
         per_second: BTreeMap::from([
             // Half a second of prompt processing, and 2,500 output tokens at 0.2 ms each.
@@ -165,12 +169,12 @@
         sampled_requests: 1_000.0,
     };
     let needs = needs_of(&profiles(), &work).expect("sample is large enough");
-    assert!(about(needs[&model(LARGE)], 1.0), "{needs:?}");
-    assert!(about(needs[&model(SMALL)], 0.5), "{needs:?}");
+    assert!(is_close(needs[&model(LARGE)], 1.0), "{needs:?}");
+    assert!(is_close(needs[&model(SMALL)], 0.5), "{needs:?}");
 }
 
 #[test]
-fn too_little_work_tells_nothing_and_a_model_nobody_asks_for_still_needs_something() {
+fn a_small_sample_gives_no_needs_and_an_idle_model_has_a_minimum_need() {
     let mut seen = FleetWork {
         per_second: BTreeMap::from([(model(SMALL), work(10.0, 7_000.0, 300.0))]),
         sampled_requests: 50.0,
@@ -182,7 +186,7 @@
 }
 
 #[test]
-fn models_without_published_times_are_weighed_by_their_tokens() {
+fn models_without_engine_times_are_weighted_by_their_tokens() {
     let mut profiles = profiles();
     for profile in profiles.values_mut() {
         profile.times = None;
@@ -197,7 +201,7 @@
     let needs = needs_of(&profiles, &work).expect("sample is large enough");
     let ratio = needs[&model(SMALL)] / needs[&model(LARGE)];
     assert!(
-        about(ratio, 2.0),
+        is_close(ratio, 2.0),
         "four times the tokens at half the pace give twice the need, got {ratio}"
     );
 }
--- a/shalehinge/tests/focused.rs
+++ b/shalehinge/tests/focused.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use shalehinge::core::fleet_state::{Applied, FleetState, ObjectUpdate};
+use shalehinge::core::fleet_state::{ApplyResult, FleetState, ObjectUpdate};
 use shalehinge::core::objects::{FleetConfig, Object, ObjectKey};
 use shalehinge::core::router::request::Outcome;
 use shalehinge::core::types::Version;
@@ -31,20 +31,20 @@
 }
 
 #[test]
-fn an_older_configuration_changes_nothing() {
+fn an_older_configuration_is_ignored() {
     let mut state = FleetState::default();
     let update = |version| ObjectUpdate {
         key: ObjectKey::Fleet,
         version: Version::without_era(version),
         object: Object::Fleet(FleetConfig::default()),
     };
-    assert_eq!(state.apply(update(5)), Applied::All);
-    assert_eq!(state.apply(update(4)), Applied::Nothing);
+    assert_eq!(state.apply(update(5)), ApplyResult::Changed);
+    assert_eq!(state.apply(update(4)), ApplyResult::Unchanged);
     assert_eq!(state.digest().fleet.stored, Version::without_era(5));
 }
 
 #[test]
-fn a_daemon_that_starts_in_an_outage_takes_what_its_peers_hold() {
+fn a_daemon_that_starts_in_an_outage_gets_objects_from_its_peers() {
     let mut world = World::serving(1);
     world.platform.fault = Fault::Down;
     world.kill(0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn requests_go_on_while_the_platform_is_away() {
+fn requests_are_served_during_a_platform_outage() {
     let mut world = World::serving(2);
     world.platform.fault = Fault::Down;
     world.run_for(seconds(60));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_refused_as_not_run_while_the_platform_is_away() {
+fn a_keyed_request_is_refused_as_not_run_during_a_platform_outage() {
     let mut world = World::serving(3);
     world.platform.fault = Fault::Down;
     let request = world.request(0, 0, 0).expect("daemon is running");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_key_sent_again_through_another_daemon_after_the_first_died_does_not_run_again() {
+fn a_key_resent_through_another_daemon_after_the_first_died_does_not_run_again() {
     let mut world = World::serving(4);
     let first = world.request(0, 0, 5).expect("daemon is running");
     world.run_until("the first request runs", |world| {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_frozen_holder_that_wakes_gives_no_orders_and_the_successor_does() {
+fn a_frozen_holder_that_resumes_leaves_control_to_its_successor() {
     let mut world = World::serving(5);
     let holder = holder_of(&world, 0).expect("lease is held");
     world.freeze(holder);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_lost_member_takes_its_replica_out_and_a_spare_takes_its_place() {
+fn a_replica_with_a_lost_member_is_removed_and_formed_again_with_a_spare() {
     let mut world = World::serving(6);
     // Hosts 0 to 3 of a domain form two groups; host 4 is a spare.
     world.kill_host(1);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_cut_domain_goes_on_with_its_own_replicas() {
+fn a_partitioned_failure_domain_serves_from_its_own_replicas() {
     let mut world = World::serving(7);
     let domain = world.domains[0].clone();
     world.cut.insert(domain.clone());
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_leaving_host_gets_no_new_work_although_nobody_holds_control() {
+fn a_leaving_host_gets_no_new_requests_without_a_holder_of_control() {
     let mut world = World::serving(9);
     world.kill(0);
     world.kill(1);
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_planned_stop_hands_control_over_at_once() {
+fn a_planned_stop_hands_over_control_immediately() {
     let mut world = World::serving(8);
     let holder = holder_of(&world, 0).expect("lease is held");
     world.stop(holder);
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shalehinge::core::feed::{Confirmation, Feed};
-use shalehinge::core::fleet_state::{Applied, FleetState, ObjectUpdate};
+use shalehinge::core::fleet_state::{ApplyResult, FleetState, ObjectUpdate};
 use shalehinge::core::objects::{
     CustomerConfig, FleetConfig, HostChanges, HostList, HostRecord, HostState, ModelProfile,
     Object, ObjectKey, RequestKind, RouteConfig, WeightedService,
@@ -185,16 +185,20 @@
     };
     assert_eq!(
         state.apply(change(3, &b, None)),
-        Applied::Nothing,
+        ApplyResult::Unchanged,
         "over nothing"
     );
     let hosts = BTreeMap::from([(a.clone(), record(1))]);
     assert_ne!(
         state.apply(update(5, Object::Hosts(HostList { hosts }))),
-        Applied::Nothing
+        ApplyResult::Unchanged
     );
-    assert_eq!(state.apply(change(4, &b, None)), Applied::Nothing, "older");
-    assert_ne!(state.apply(change(6, &b, Some(&a))), Applied::Nothing);
+    assert_eq!(
+        state.apply(change(4, &b, None)),
+        ApplyResult::Unchanged,
+        "older"
+    );
+    assert_ne!(state.apply(change(6, &b, Some(&a))), ApplyResult::Unchanged);
     let known: Vec<HostId> = state
         .hosts()
         .expect("known")
--- a/shalehinge/tests/lease.rs
+++ b/shalehinge/tests/lease.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_old_answer_does_not_put_off_the_takeover() {
+fn a_stale_answer_does_not_delay_the_takeover() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), held_by_other(5));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_lease_that_was_renewed_unseen_is_not_taken_and_read_exactly() {
+fn a_conflict_with_an_unseen_renewal_leads_to_an_exact_read() {
     let mut lease = candidate();
     let first = step(&mut lease, 0);
     assert_eq!(first, Some(LeaseStep::Read(Freshness::MayBeStale)));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_write_without_an_answer_is_settled_by_an_exact_read() {
+fn a_write_without_an_answer_is_resolved_by_an_exact_read() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), None);
@@ -84,13 +84,13 @@
         step(&mut lease, 1_400),
         Some(LeaseStep::Write { .. })
     ));
-    lease.on_unclear();
+    lease.on_unknown_outcome();
     let read = step(&mut lease, 2_800);
     assert_eq!(read, Some(LeaseStep::Read(Freshness::Exact)));
 }
 
 #[test]
-fn a_lease_that_another_writer_overwrote_is_taken_after_a_term_above_the_epochs_before() {
+fn an_overwritten_lease_is_taken_after_a_term_with_a_higher_epoch() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), held_by_other(5));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_lease_that_began_anew_is_raised_above_what_is_stored_before_it_is_used() {
+fn a_restarted_lease_is_raised_above_the_stored_epoch_before_use() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_foreign(at(10), Version::without_era(6));
--- a/shalehinge/tests/membership.rs
+++ b/shalehinge/tests/membership.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn who_holds_control_of_a_failure_domain_is_known_whether_a_candidate_or_not() {
+fn holders_of_control_are_known_by_failure_domain() {
     let mut membership = member_of_d();
     let peers = (2..20).map(|port| heartbeat(port, "d", 1, port == 7));
     membership.merge(at(1), gossip(peers.collect()));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_holder_that_gave_control_back_is_no_longer_named() {
+fn a_holder_that_released_control_is_no_longer_listed() {
     let mut membership = member_of_d();
     membership.merge(at(1), gossip(vec![heartbeat(7, "d", 1, true)]));
     membership.merge(at(2), gossip(vec![heartbeat(7, "d", 2, false)]));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_a_dead_daemon_told_counts_no_more() {
+fn reports_of_a_dead_daemon_are_ignored() {
     let mut membership = member_of_d();
     membership.merge(at(1), gossip(vec![heartbeat(7, "d", 1, true)]));
     let domain = FailureDomain::new("d");
@@ -117,9 +117,9 @@
             return;
         };
         let peer = to.port() as usize;
-        let asked = self.members[index].gossip(now, None, &mut self.rng);
-        let reply = self.members[peer].gossip(now, Some(&asked), &mut self.rng);
-        self.members[peer].merge(now, asked);
+        let request = self.members[index].gossip(now, None, &mut self.rng);
+        let reply = self.members[peer].gossip(now, Some(&request), &mut self.rng);
+        self.members[peer].merge(now, request);
         self.members[index].merge(now, reply);
     }
 
@@ -143,16 +143,16 @@
 }
 
 #[test]
-fn what_is_divided_among_all_is_never_handed_out_twice() {
+fn shares_of_a_fleet_wide_total_never_exceed_it() {
     let mut fleet = Fleet::new(295, 5);
     fleet.run(20);
     let now = fleet.now();
-    let parts = fleet
+    let shares = fleet
         .members
         .iter()
         .map(|member| 1.0 / member.fleet_size(now) as f64);
-    let handed_out: f64 = parts.sum();
-    assert!(handed_out <= 1.001, "shares add up to {handed_out}");
+    let total: f64 = shares.sum();
+    assert!(total <= 1.001, "shares add up to {total}");
 }
 
 #[test]
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn news_of_a_member_overtakes_its_counter() {
+fn a_newer_revision_is_accepted_with_an_older_counter() {
     let mut membership = member_of_d();
     let mut peer = heartbeat(7, "d", 9, false);
     peer.revision = 1;
--- a/shalehinge/tests/permits.rs
+++ b/shalehinge/tests/permits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use shalehinge::core::named_limit::RequestRate;
-use shalehinge::core::permits::{Granted, LimitReport, PermitOwner};
+use shalehinge::core::permits::{DaemonGrant, LimitReport, PermitOwner};
 use shalehinge::core::router::request::UpstreamId;
 use shalehinge::core::types::{
     Address, EngineStart, FailureDomain, GroupNumber, ReplicaId, Timestamp,
@@ -42,35 +42,40 @@
 /// An owner that received a limit at 10 s.
 fn owner(rate: f64) -> PermitOwner {
     let mut owner = PermitOwner::default();
-    owner.learn(at(10.0), at(10.0), &report(Some(rate)));
+    owner.record_report(at(10.0), at(10.0), &report(Some(rate)));
     owner
 }
 
-fn ask(owner: &mut PermitOwner, seconds: f64, port: u16, wanted: u32) -> Vec<Granted> {
-    owner.ask(at(seconds), daemon(port), &upstream(), wanted);
+fn request_and_grant(
+    owner: &mut PermitOwner,
+    seconds: f64,
+    port: u16,
+    wanted: u32,
+) -> Vec<DaemonGrant> {
+    owner.queue_request(at(seconds), daemon(port), &upstream(), wanted);
     owner.grant(at(seconds))
 }
 
-fn count(granted: &[Granted]) -> u32 {
+fn permit_count(granted: &[DaemonGrant]) -> u32 {
     granted.iter().map(|granted| granted.grant.count).sum()
 }
 
 #[test]
-fn an_owner_begins_with_nothing_saved_up() {
+fn a_new_owner_starts_without_permits() {
     let mut owner = owner(1.0);
-    assert_eq!(count(&ask(&mut owner, 10.0, 1, 5)), 0);
-    assert_eq!(count(&ask(&mut owner, 10.9, 1, 5)), 0);
-    assert_eq!(count(&ask(&mut owner, 11.1, 1, 5)), 1);
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 10.0, 1, 5)), 0);
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 10.9, 1, 5)), 0);
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 11.1, 1, 5)), 1);
 }
 
 #[test]
-fn permits_go_to_daemons_in_the_order_of_their_questions() {
+fn permits_are_granted_in_request_order() {
     let mut owner = owner(2.0);
     for port in [7, 3, 5] {
-        assert!(ask(&mut owner, 10.0, port, 1).is_empty());
+        assert!(request_and_grant(&mut owner, 10.0, port, 1).is_empty());
     }
     // A repeated request keeps its place in the queue.
-    assert!(ask(&mut owner, 10.1, 7, 1).is_empty());
+    assert!(request_and_grant(&mut owner, 10.1, 7, 1).is_empty());
     let first = owner.grant(at(10.55));
     assert_eq!(first[0].daemon, daemon(7));
     let second = owner.grant(at(11.05));
@@ -78,41 +83,41 @@
 }
 
 #[test]
-fn what_nobody_asked_for_is_saved_up_for_half_a_second_only() {
+fn unused_permits_accumulate_for_half_a_second_only() {
     let mut owner = owner(10.0);
-    assert_eq!(count(&ask(&mut owner, 40.0, 1, 64)), 6);
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 40.0, 1, 64)), 6);
 }
 
 #[test]
-fn older_news_change_nothing_and_the_end_of_a_limit_ends_its_permits() {
+fn older_reports_are_ignored_and_the_end_of_a_limit_ends_its_permits() {
     let mut owner = owner(100.0);
-    owner.learn(at(11.0), at(9.0), &report(Some(1.0)));
-    assert!(count(&ask(&mut owner, 11.0, 1, 64)) > 10);
-    owner.learn(at(12.0), at(12.0), &report(None));
-    assert_eq!(count(&ask(&mut owner, 13.0, 1, 64)), 0);
-    let told = owner.report(at(13.0), &upstream());
-    assert_eq!(told.map(|report| report.rate), Some(None));
+    owner.record_report(at(11.0), at(9.0), &report(Some(1.0)));
+    assert!(permit_count(&request_and_grant(&mut owner, 11.0, 1, 64)) > 10);
+    owner.record_report(at(12.0), at(12.0), &report(None));
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 13.0, 1, 64)), 0);
+    let known = owner.report(at(13.0), &upstream());
+    assert_eq!(known.map(|report| report.rate), Some(None));
     // A daemon that has not heard of the end still reports the former limit.
-    owner.learn(at(13.0), at(11.5), &report(Some(100.0)));
-    assert_eq!(count(&ask(&mut owner, 14.0, 1, 64)), 0);
+    owner.record_report(at(13.0), at(11.5), &report(Some(100.0)));
+    assert_eq!(permit_count(&request_and_grant(&mut owner, 14.0, 1, 64)), 0);
 }
 
 #[test]
-fn an_upstream_that_changes_its_mind_in_every_answer_is_told_of_once_a_second() {
+fn a_limit_that_starts_and_ends_in_every_answer_is_broadcast_once_a_second() {
     let mut owner = owner(1.0);
-    assert_eq!(owner.news(at(10.0)).len(), 1);
-    let mut told = 0;
+    assert_eq!(owner.take_due_broadcasts(at(10.0)).len(), 1);
+    let mut broadcasts = 0;
     for tenth in 1..=50 {
         let now = 10.0 + f64::from(tenth) / 10.0;
         let rate = (tenth % 2 == 0).then_some(1.0);
-        owner.learn(at(now), at(now), &report(rate));
-        told += owner.news(at(now)).len();
+        owner.record_report(at(now), at(now), &report(rate));
+        broadcasts += owner.take_due_broadcasts(at(now)).len();
     }
-    assert!(told <= 5, "{told} broadcasts in 5 s");
+    assert!(broadcasts <= 5, "{broadcasts} broadcasts in 5 s");
 }
 
 #[test]
-fn a_limit_that_nobody_speaks_of_is_forgotten() {
+fn a_limit_without_reports_expires() {
     let mut owner = owner(1.0);
     owner.grant(at(100.0));
     assert_eq!(owner.report(at(100.0), &upstream()), None);
--- a/shalehinge/tests/quarantine.rs
+++ b/shalehinge/tests/quarantine.rs
@@ -273,14 +273,18 @@
         target: Target::Model(ModelName::new("m")),
         candidates: candidates.iter().map(|c| (*c).clone()).collect(),
     };
-    let first = owner.ask(at(1), &ask(1, &[&upstream]));
+    let first = owner.try_grant(at(1), &ask(1, &[&upstream]));
     assert_eq!(first.map(|grant| grant.upstream), Some(upstream.clone()));
-    assert_eq!(owner.ask(at(1), &ask(1, &[&other])), None, "one at a time");
-    assert_eq!(owner.ask(at(1), &ask(2, &[&upstream])), None);
-    let second = owner.ask(at(1), &ask(2, &[&upstream, &other]));
+    assert_eq!(
+        owner.try_grant(at(1), &ask(1, &[&other])),
+        None,
+        "one at a time"
+    );
+    assert_eq!(owner.try_grant(at(1), &ask(2, &[&upstream])), None);
+    let second = owner.try_grant(at(1), &ask(2, &[&upstream, &other]));
     assert_eq!(second.map(|grant| grant.upstream), Some(other));
     owner.end(Fingerprint(1));
-    assert!(owner.ask(at(2), &ask(3, &[&upstream])).is_some());
+    assert!(owner.try_grant(at(2), &ask(3, &[&upstream])).is_some());
     // A trial of which nothing was heard.
-    assert!(owner.ask(at(9), &ask(2, &[&upstream])).is_some());
+    assert!(owner.try_grant(at(9), &ask(2, &[&upstream])).is_some());
 }
--- a/shalehinge/tests/routable.rs
+++ b/shalehinge/tests/routable.rs
@@ -26,7 +26,7 @@
 }
 
 /// A host in a random state: an instance of a plain service, or a member of a random group.
-fn any_record(number: u16, rng: &mut StdRng) -> HostRecord {
+fn random_record(number: u16, rng: &mut StdRng) -> HostRecord {
     let phase = PHASES[rng.random_range(0..PHASES.len())];
     let status = EngineStatus {
         host: host(number),
@@ -108,7 +108,7 @@
             self.hosts.remove(&host(number));
             changes.removed = BTreeSet::from([host(number)]);
         } else {
-            let record = any_record(number, &mut self.rng);
+            let record = random_record(number, &mut self.rng);
             self.hosts.insert(host(number), record.clone());
             changes.changed.insert(host(number), record);
         }
@@ -116,16 +116,17 @@
         self.states[0].apply(update(self.version, changes));
     }
 
-    fn ask(&mut self, asker: usize) {
-        let digest = self.states[asker].digest();
-        if let Some(news) = self.states[asker - 1].routable_hosts_after(&digest) {
-            self.states[asker].apply(news);
+    fn pull(&mut self, requester: usize) {
+        let digest = self.states[requester].digest();
+        if let Some(update_for_requester) = self.states[requester - 1].routable_hosts_after(&digest)
+        {
+            self.states[requester].apply(update_for_requester);
         }
     }
 
     /// The reading daemon stops reading, misses updates, and lists again.
-    fn stop_and_list(&mut self) {
-        self.states[0].forget_other_hosts();
+    fn stop_reading_and_list(&mut self) {
+        self.states[0].discard_unroutable_hosts();
         self.version += 1;
         self.list();
     }
@@ -149,28 +150,28 @@
     for _ in 0..STEPS {
         match chain.rng.random_range(0..100) {
             0..70 => chain.change(),
-            70..84 => chain.ask(1),
-            84..98 => chain.ask(2),
-            98 => chain.stop_and_list(),
+            70..84 => chain.pull(1),
+            84..98 => chain.pull(2),
+            98 => chain.stop_reading_and_list(),
             _ => chain.states[2] = FleetState::new(HostDetail::Routable),
         }
     }
-    chain.ask(1);
-    chain.ask(2);
+    chain.pull(1);
+    chain.pull(2);
     chain.check();
 }
 
 #[test]
-fn what_peers_tell_adds_up_to_the_routable_part_of_the_list() {
+fn updates_from_peers_add_up_to_the_routable_part_of_the_list() {
     for seed in 0..300 {
         run(seed);
     }
 }
 
 #[test]
-fn who_asks_after_more_changes_than_are_remembered_is_told_all() {
+fn a_peer_that_missed_more_changes_than_the_log_holds_gets_the_whole_part() {
     let mut chain = Chain::new(1);
-    chain.ask(1);
+    chain.pull(1);
     for number in 0..HOSTS {
         chain.change_host(number);
     }
@@ -178,7 +179,7 @@
     for _ in 0..1_000 {
         chain.change_host(0);
     }
-    chain.ask(1);
-    chain.ask(2);
+    chain.pull(1);
+    chain.pull(2);
     chain.check();
 }
--- a/shalehinge/tests/store_era.rs
+++ b/shalehinge/tests/store_era.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use shalehinge::core::claims::{ClaimBook, ClaimResult, ClaimStep};
+use shalehinge::core::claims::{ClaimResult, ClaimStep, ClaimTracker};
 use shalehinge::core::fleet_state::{FleetState, ObjectUpdate};
 use shalehinge::core::lease::{ControlLease, LeaseStep};
 use shalehinge::core::objects::{
@@ -278,7 +278,7 @@
     let mut state = after_copy(live, Vec::new(), list(&[]));
     assert_eq!(routed(&state, HOST), LIVE);
     assert!(state.has_earlier_hosts());
-    state.forget_earlier_hosts();
+    state.discard_earlier_hosts();
     assert_eq!(routed(&state, HOST), None);
 }
 
@@ -358,8 +358,8 @@
 const OTHER_KEY: KeyHash = KeyHash(2);
 const WALL: u64 = 1_000_000;
 
-fn book() -> ClaimBook {
-    ClaimBook::new(ClaimSettings {
+fn book() -> ClaimTracker {
+    ClaimTracker::new(ClaimSettings {
         partitions: 1,
         ..ClaimSettings::default()
     })
@@ -375,7 +375,7 @@
 #[test]
 fn a_claim_that_the_store_lost_is_written_again_before_any_key_is_granted() {
     let mut book = book();
-    book.remember(at(1_000), WALL, KEY, OperationId(7));
+    book.record_granted(at(1_000), WALL, KEY, OperationId(7));
     book.on_new_era(at(2_000));
     book.claim(at(2_000), RequestId(2), OTHER_KEY, OperationId(8));
     assert_eq!(book.poll(at(2_000), WALL).0, [ClaimStep::Read(0)]);
@@ -407,7 +407,7 @@
 #[test]
 fn a_claim_that_was_withdrawn_is_not_written_again() {
     let mut book = book();
-    book.remember(at(1_000), WALL, KEY, OperationId(7));
+    book.record_granted(at(1_000), WALL, KEY, OperationId(7));
     book.withdraw(KEY, OperationId(7));
     book.poll(at(1_100), WALL);
     book.on_read(0, nothing(FIRST));
--- a/shalehinge/tests/superseded.rs
+++ b/shalehinge/tests/superseded.rs
@@ -10,6 +10,7 @@
 use shalehinge::core::fingerprint::Fingerprint;
 use shalehinge::core::fleet_state::{ObjectUpdate, VersionDigest};
 use shalehinge::core::membership::{Gossip, Heartbeat};
+use shalehinge::core::object_fetch::{Locality, ObjectFetch};
 use shalehinge::core::objects::{
     FleetConfig, Object, ObjectKey, RequestKind, RouteConfig, ServiceConfig, WeightedService,
 };
@@ -19,7 +20,6 @@
     Address, Customer, DaemonId, FailureDomain, FleetVersion, Incarnation, RequestId, ServiceName,
     Timestamp, Version,
 };
-use shalehinge::core::whole_fetch::{Distance, WholeFetch};
 use shalehinge::settings::core::CoreSettings;
 use shalehinge::settings::learning::{FeedLayout, LearningSettings};
 
@@ -214,18 +214,18 @@
 #[test]
 fn peers_of_the_own_failure_domain_are_asked_first() {
     let (near, far) = (address(2), address(3));
-    let mut fetch = WholeFetch::default();
-    fetch.hear(at(1_000), far, Distance::Far);
+    let mut fetch = ObjectFetch::default();
+    fetch.note_newer_version(at(1_000), far, Locality::Remote);
     assert_eq!(
         fetch.begin(at(1_100)),
         None,
         "the near ones have their time"
     );
-    fetch.hear(at(1_200), near, Distance::Near);
+    fetch.note_newer_version(at(1_200), near, Locality::Local);
     assert_eq!(fetch.begin(at(1_200)), Some(near));
     fetch.end();
-    fetch.hear(at(2_000), far, Distance::Far);
-    fetch.hear(at(2_300), far, Distance::Far);
+    fetch.note_newer_version(at(2_000), far, Locality::Remote);
+    fetch.note_newer_version(at(2_300), far, Locality::Remote);
     assert_eq!(fetch.begin(at(2_400)), Some(far), "nobody near told of it");
 }
 
