--- a/shalehinge/src/core/demand.rs
+++ b/shalehinge/src/core/demand.rs
@@ -169,7 +169,6 @@
             .add(work);
     }
 
-    /// What arrived at this daemon.
     /// The load on this daemon, decayed to `now`.
     fn own_work(&self, now: Timestamp) -> DaemonWork {
         let Some(counted_at) = self.counted_at else {
