--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Merges the gossip of a peer. Heartbeats of an older run and older counters are ignored; a newer
-    /// revision is applied even if its counter is older.
+    /// Merges the gossip of a peer. Heartbeats of an older run and older counters are ignored; a
+    /// newer revision is applied even if its counter is older.
     pub fn merge(&mut self, now: Timestamp, gossip: Gossip) {
         for heartbeat in gossip.members.into_iter().chain([gossip.sender]) {
             if heartbeat.daemon != self.own_heartbeat.daemon {
