--- a/shalehinge/tests/focused.rs
+++ b/shalehinge/tests/focused.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_leaving_host_gets_no_new_requests_without_a_holder_of_control() {
+fn a_leaving_host_gets_no_new_requests_while_nobody_holds_control() {
     let mut world = World::serving(9);
     world.kill(0);
     world.kill(1);
