--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -7,7 +7,7 @@
 use super::{CallPurpose, Daemon, NOTICE_FANOUT, WATCH_DUTY, WATCH_RETRY_DELAY, log};
 use crate::core::event::{Action, Component, LimitsNotice, Notice, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
-use crate::core::fleet_state::{Applied, ObjectUpdate};
+use crate::core::fleet_state::{ApplyResult, ObjectUpdate};
 use crate::core::objects::{Object, ObjectKey};
 use crate::core::platform::{Freshness, PlatformCall, PlatformReply, PlatformResult, Scope};
 use crate::core::router::topology;
@@ -159,10 +159,10 @@
             Scope::Shared | Scope::Configuration => Duration::ZERO,
         };
         feed.on_answer(now, result, spacing, pause, self.confirmation);
-        let is_list_known = scope != Scope::Hosts || self.state.whole_hosts().is_some();
+        let is_list_known = scope != Scope::Hosts || self.state.full_hosts().is_some();
         if feed.has_listed() && !is_list_known {
             // The list was older than the one known from peers.
-            feed.list_again(now);
+            feed.relist(now);
         }
         if matches!(result, Ok(PlatformReply::Objects { .. })) {
             self.rewrite_lost_fleet(now, out);
@@ -249,10 +249,10 @@
             if self.state.hosts_version().era != previous_hosts_era {
                 self.keep_earlier_hosts(now, hosts_answered_at);
             }
-            if let Some(version) = fleet_version.filter(|_| applied == Applied::Nothing) {
+            if let Some(version) = fleet_version.filter(|_| applied == ApplyResult::Unchanged) {
                 self.log_ignored_version(version, out);
             }
-            if applied == Applied::All {
+            if applied == ApplyResult::Changed {
                 is_changed = true;
                 // Daemons that relay the host list pull it at intervals and need no notice.
                 needs_notice |= key != ObjectKey::Hosts || !self.settings.learning.relays;
@@ -266,7 +266,8 @@
             self.rebuild_topology();
         }
         if needs_notice {
-            self.membership.set_fleet(self.state.fleet_version());
+            self.membership
+                .set_fleet_version(self.state.fleet_version());
             self.notify_random_peers(now, out);
         }
     }
@@ -311,7 +312,7 @@
     pub(super) fn notify_random_peers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let peers = self
             .membership
-            .some_peers(now, NOTICE_FANOUT, &mut self.rng);
+            .random_peers(now, NOTICE_FANOUT, &mut self.rng);
         self.notify(peers, Vec::new(), out);
     }
 
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -36,7 +36,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::core::claims::{ClaimBook, ClaimResult};
+use crate::core::claims::{ClaimResult, ClaimTracker};
 use crate::core::controller::Controller;
 use crate::core::demand::Demand;
 use crate::core::event::{Action, Component, Event, LimitsNotice, LogLine, StatusPurpose};
@@ -44,6 +44,7 @@
 use crate::core::fleet_state::{FleetState, HostDetail};
 use crate::core::lease::ControlLease;
 use crate::core::membership::{Heartbeat, Membership};
+use crate::core::object_fetch::ObjectFetch;
 use crate::core::objects::KeyHash;
 use crate::core::operator::{OperatorCallId, OperatorCalls};
 use crate::core::permits::PermitOwner;
@@ -57,7 +58,6 @@
     Address, Customer, DaemonId, FailureDomain, FleetVersion, Incarnation, OperationId, RequestId,
     Timestamp,
 };
-use crate::core::whole_fetch::WholeFetch;
 use crate::settings::core::CoreSettings;
 use crate::settings::learning::{FeedLayout, LearningSettings};
 
@@ -143,7 +143,7 @@
     membership: Membership,
     lease: ControlLease,
     controller: Controller,
-    claims: ClaimBook,
+    claims: ClaimTracker,
     /// The request limits that this daemon owns, and their permits.
     permits: PermitOwner,
     /// The trials that this daemon owns and grants.
@@ -172,7 +172,7 @@
     next_relay_pull_at: Timestamp,
     /// When the platform last answered the daemons that the peers' host list comes from.
     peer_hosts_answered_at: Option<Timestamp>,
-    whole_fetch: WholeFetch,
+    whole_fetch: ObjectFetch,
     superseded: NewerConfigurations,
     /// Age, at the start of this daemon, of the platform's last confirmation of the
     /// configuration, as reported by peers. Used until the configuration is confirmed again.
@@ -207,7 +207,7 @@
             state: FleetState::new(if settings.learning.relays {
                 HostDetail::Routable
             } else {
-                HostDetail::Whole
+                HostDetail::Full
             }),
             membership: Membership::new(settings.membership, heartbeat, identity.seeds.clone()),
             lease: ControlLease::new(
@@ -216,7 +216,7 @@
                 identity.incarnation,
             ),
             controller: Controller::new(settings.control, domain),
-            claims: ClaimBook::new(settings.claims),
+            claims: ClaimTracker::new(settings.claims),
             permits: PermitOwner::default(),
             trials: TrialOwner::default(),
             own_trial_grants: Vec::new(),
@@ -240,7 +240,7 @@
             next_confirm_pull_at: Timestamp::ZERO,
             next_relay_pull_at: Timestamp::ZERO,
             peer_hosts_answered_at: None,
-            whole_fetch: WholeFetch::default(),
+            whole_fetch: ObjectFetch::default(),
             superseded: NewerConfigurations::default(),
             confirmed_age_at_start: None,
             next_suspect_report_at: Timestamp::ZERO,
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -44,7 +44,9 @@
                 // Reads the written change back at once, so that it is in force here without
                 // delay.
                 if let Ok(PlatformReply::Written(_)) = result {
-                    self.feeds.iter_mut().for_each(|feed| feed.hurry(now));
+                    self.feeds
+                        .iter_mut()
+                        .for_each(|feed| feed.schedule_now(now));
                 }
                 out.push(Action::AnswerOperator {
                     call_id: id,
--- a/shalehinge/src/core/daemon/relays.rs
+++ b/shalehinge/src/core/daemon/relays.rs
@@ -97,7 +97,7 @@
 
     /// The parent of this daemon in the tree, or `None` for a watcher.
     fn relay_parent(&self, now: Timestamp) -> Option<Address> {
-        let ranked = self.membership.ranked(now, WATCH_DUTY);
+        let ranked = self.membership.ranked_members(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me)?;
         let rank_below_watchers = rank.checked_sub(self.settings.learning.watchers)?;
@@ -137,7 +137,7 @@
         if age < self.relay_timeout() {
             return false;
         }
-        let ranked = self.membership.ranked(now, WATCH_DUTY);
+        let ranked = self.membership.ranked_members(now, WATCH_DUTY);
         let me = &self.identity.daemon;
         let rank = ranked.iter().position(|daemon| *daemon == me).unwrap_or(0) as u32;
         let delay = (FALLBACK_DELAY_PER_RANK * rank).min(MAX_FALLBACK_DELAY);
@@ -153,26 +153,26 @@
     /// When the platform last answered this daemon's own host feed.
     fn own_host_feed_answered_at(&self) -> Option<Timestamp> {
         let feed = self.feeds.iter().find(|feed| feed.scope() == Scope::Hosts);
-        feed.and_then(Feed::heard_at)
+        feed.and_then(Feed::last_answer_at)
     }
 
     /// Switches to the host list of peers if the platform answers them but no longer this daemon.
     /// The feed keeps calling, and lists again once it is answered.
     pub(super) fn prefer_peer_host_list(&mut self, now: Timestamp, index: usize) {
-        let answered_at = self.feeds[index].heard_at();
+        let answered_at = self.feeds[index].last_answer_at();
         if !self.is_own_host_feed_fresh(now) && self.peer_hosts_answered_at > answered_at {
-            self.state.forget_other_hosts();
+            self.state.discard_unroutable_hosts();
         }
     }
 
     /// Stops reading the host list from the platform; peers provide the part that routing needs.
     pub(super) fn stop_reading_hosts(&mut self, index: usize) {
         let is_idle = !self.feeds[index].is_active();
-        if is_idle && self.state.whole_hosts().is_none() {
+        if is_idle && self.state.full_hosts().is_none() {
             return;
         }
         self.forget_feed_calls(index);
         self.feeds[index].reset();
-        self.state.forget_other_hosts();
+        self.state.discard_unroutable_hosts();
     }
 }
--- a/shalehinge/src/core/daemon/stopping.rs
+++ b/shalehinge/src/core/daemon/stopping.rs
@@ -26,7 +26,7 @@
             return;
         }
         self.is_leaving = true;
-        self.membership.leave();
+        self.membership.mark_leaving();
         log(
             out,
             Component::Daemon,
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -145,7 +145,7 @@
         }
         let is_recent = answered_at.is_some_and(|at| now.since(at) < EARLIER_LIST_MAX_AGE);
         if !is_recent {
-            self.state.forget_earlier_hosts();
+            self.state.discard_earlier_hosts();
             return;
         }
         let heartbeat = self.settings.control.host_heartbeat;
@@ -161,7 +161,7 @@
             return;
         }
         self.era_state.earlier_hosts_until = None;
-        self.state.forget_earlier_hosts();
+        self.state.discard_earlier_hosts();
         self.rebuild_topology();
         let text = "dropped hosts of the earlier era; the platform's host list applies".to_owned();
         log(out, Component::Platform, text);
--- a/shalehinge/src/core/mod.rs
+++ b/shalehinge/src/core/mod.rs
@@ -11,7 +11,7 @@
 //! - `daemon`: the state machine that combines all modules
 //! - `feed`: a subset of the platform's objects that is listed and then watched
 //! - `superseded`: newer configurations that peers reported, and since when
-//! - `whole_fetch`: which peer a daemon fetches large objects from
+//! - `object_fetch`: which peer a daemon fetches large objects from
 //! - `earlier_hosts`: hosts as reported in an earlier store era
 //! - `routable_hosts`: the subset of the host list that routing needs
 //! - `fingerprint`: content hashes that identify repeated requests
@@ -45,6 +45,7 @@
 pub mod hash;
 pub mod lease;
 pub mod membership;
+pub mod object_fetch;
 pub mod objects;
 pub mod operator;
 pub mod permits;
@@ -59,4 +60,3 @@
 pub mod trials;
 pub mod types;
 pub mod version;
-pub mod whole_fetch;
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shalehinge::core::feed::{Confirmation, Feed};
-use shalehinge::core::fleet_state::{Applied, FleetState, ObjectUpdate};
+use shalehinge::core::fleet_state::{ApplyResult, FleetState, ObjectUpdate};
 use shalehinge::core::objects::{
     CustomerConfig, FleetConfig, HostChanges, HostList, HostRecord, HostState, ModelProfile,
     Object, ObjectKey, RequestKind, RouteConfig, WeightedService,
@@ -199,20 +199,20 @@
     };
     assert_eq!(
         state.apply(change(3, &b, None)),
-        Applied::Nothing,
+        ApplyResult::Unchanged,
         "no list to apply it to"
     );
     let hosts = BTreeMap::from([(a.clone(), record(1))]);
     assert_ne!(
         state.apply(update(5, Object::Hosts(HostList { hosts }))),
-        Applied::Nothing
+        ApplyResult::Unchanged
     );
     assert_eq!(
         state.apply(change(4, &b, None)),
-        Applied::Nothing,
+        ApplyResult::Unchanged,
         "older than the list"
     );
-    assert_ne!(state.apply(change(6, &b, Some(&a))), Applied::Nothing);
+    assert_ne!(state.apply(change(6, &b, Some(&a))), ApplyResult::Unchanged);
     let known: Vec<HostId> = state
         .hosts()
         .expect("known")
