--- a/shalehinge/src/core/placement/divide.rs
+++ b/shalehinge/src/core/placement/divide.rs
@@ -1,15 +1,15 @@
-//! Division of a model's replicas over the failure domains.
+//! Distribution of a model's replicas over the failure domains.
 //!
-//! Replicas are spread evenly, so that a lost failure domain costs as few as
-//! possible, as far as each domain has room for whole groups.
+//! Replicas are spread as evenly as the capacity for whole groups in each failure domain allows,
+//! so that the loss of a failure domain costs as few replicas as possible.
 
 use std::collections::BTreeMap;
 
 use crate::core::objects::{FleetConfig, HostList, HostState};
 use crate::core::types::{FabricDomain, FailureDomain, ModelName};
 
-/// Groups of `size` hosts that each failure domain has room for, beside the
-/// other models' intents.
+/// Number of groups of `size` hosts that fit into each failure domain, after subtracting the
+/// hosts wanted by the other models' intents.
 pub fn room(
     hosts: &HostList,
     fleet: &FleetConfig,
@@ -42,8 +42,8 @@
     room
 }
 
-/// Divides `total` replicas; what finds no room is divided evenly all the same,
-/// so that it is formed when hosts come.
+/// Distributes `total` replicas over the failure domains. Replicas beyond the available capacity
+/// are distributed evenly as well, so that they are formed once hosts are added.
 pub fn divide(total: u32, room: &BTreeMap<FailureDomain, u32>) -> BTreeMap<FailureDomain, u32> {
     let mut division: BTreeMap<FailureDomain, u32> =
         room.keys().map(|domain| (domain.clone(), 0)).collect();
--- a/shalehinge/src/core/placement/fleet_shares.rs
+++ b/shalehinge/src/core/placement/fleet_shares.rs
@@ -1,18 +1,19 @@
-//! How many replicas of each model every failure domain should have.
+//! Number of replicas of each model in every failure domain.
 //!
-//! Each failure domain has the counts of [`shares`](super::shares) as long as it holds a
-//! replica of every model. One too small for that is *narrow*: taken alone, all narrow
-//! domains would give up the same model, the one with the largest replicas, and nobody
-//! would serve it. So their counts are a matter of the whole fleet:
+//! A failure domain uses the counts from [`shares`](super::shares) if these include at least one
+//! replica of every model. A failure domain that is too small for that is *narrow*. Computed
+//! separately, all narrow failure domains would drop the same model, the one with the largest
+//! replicas, and nobody would serve it. Their counts are therefore computed for the whole fleet:
 //!
-//! 1. What stands stays.
-//! 2. Free hosts go to the model that has least of its part and finds room.
-//! 3. A replica that stands is given up only for a model that nobody serves, or that has
-//!    far less than its part: the exchange costs loads and a time without service.
+//! 1. Existing replicas are kept.
+//! 2. Free hosts go to the model with the lowest supply that fits.
+//! 3. An existing replica is given up only for a model that has no replica, or whose supply is
+//!    far below its work share, because an exchange costs weight loads and downtime.
 //!
-//! So a host that comes or goes moves nothing elsewhere. A pure function of the host list
-//! and the models' parts: lease holders that see the same list reckon the same. A domain
-//! whose hosts left the list counts no more, and the others make up for it.
+//! A host that is added or removed therefore moves no replicas in other failure domains. This is
+//! a pure function of the host list and the models' work shares: lease holders that see the same
+//! list compute the same result. A failure domain whose hosts are no longer listed is ignored,
+//! and the others compensate for it.
 
 use std::collections::BTreeMap;
 
@@ -23,33 +24,33 @@
     ReplicaCounts, fit, most_spared, replicas_by_share, replicas_that_fit, supply,
 };
 
-/// How many times better off the worst served model must be after a replica that stands
-/// was given up for it. Below that the loads cost more than they bring.
+/// Minimum factor by which the lowest supply of any model must improve to justify giving up
+/// existing replicas. Below it, the weight loads cost more than the exchange gains.
 const WORTH_AN_EXCHANGE: f64 = 2.0;
 
-/// What a failure domain has for the models of one service.
+/// Hosts and replicas of one service in a failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DomainHosts {
-    /// Live hosts of each fabric domain.
+    /// Number of live hosts in each fabric domain.
     pub fabric_sizes: Vec<usize>,
-    /// Replicas that serve there or are being formed.
+    /// Replicas that serve or are forming in the failure domain, by model.
     pub standing: ReplicaCounts,
 }
 
-/// What a failure domain should have.
+/// Target of one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DomainShare {
-    /// Replicas by model.
+    /// Target number of replicas by model.
     pub counts: ReplicaCounts,
-    /// Whether it is too small for a replica of each model.
+    /// Whether the failure domain is too small for a replica of every model.
     pub is_narrow: bool,
 }
 
-/// Counts of each failure domain.
+/// Target of each failure domain.
 pub type FleetShares = BTreeMap<FailureDomain, DomainShare>;
 
-/// Divides the models over the failure domains; `spare_share` is the part of the hosts
-/// that stays free once each model has its part.
+/// Distributes the models over the failure domains. `spare_share` is the fraction of the hosts, 0
+/// to 1, that stays free once each model has its share.
 pub fn fleet_shares(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     domains: &BTreeMap<FailureDomain, DomainHosts>,
@@ -68,7 +69,7 @@
     division.shares
 }
 
-/// Models that no failure domain has a replica of.
+/// Models without a replica in any failure domain.
 pub fn models_without_room(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     shares: &FleetShares,
@@ -78,7 +79,7 @@
     without.cloned().collect()
 }
 
-/// What a domain should have by itself; a narrow one at first just what stands there.
+/// Target of a failure domain on its own. A narrow one starts with its existing replicas.
 fn share_alone(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     hosts: &DomainHosts,
@@ -99,7 +100,7 @@
     }
 }
 
-/// A division of the models that is being improved.
+/// A distribution of the models that is being improved step by step.
 struct Division<'a> {
     profiles: &'a BTreeMap<ModelName, ModelProfile>,
     domains: &'a BTreeMap<FailureDomain, DomainHosts>,
@@ -107,15 +108,16 @@
 }
 
 impl Division<'_> {
-    /// Hosts of the model in the fleet against its part of the work.
+    /// Ratio of the model's hosts in the fleet to its share of the work.
     fn supply_of(&self, model: &ModelName) -> f64 {
         let replicas = self.shares.values().map(|share| share.counts[model]);
         supply(replicas.sum(), &self.profiles[model])
     }
 
-    /// Models by how little they have. Of those that have nothing the one with the larger
-    /// replicas comes first, as it finds room in fewer places; of others alike the one
-    /// with the smaller, as it loses less with a host.
+    /// Models in order of increasing supply. Among models without any replica, the one with the
+    /// largest replicas comes first, because it fits in fewer places. Among models with equal
+    /// supply, the one with the smallest replicas comes first, because it loses less when a host
+    /// fails.
     fn by_need(&self) -> Vec<&ModelName> {
         let mut models: Vec<&ModelName> = self.profiles.keys().collect();
         let size = |model: &ModelName| self.profiles[model].hosts_per_replica;
@@ -131,7 +133,7 @@
         models
     }
 
-    /// Adds one replica on hosts that no replica uses. Tells whether it did.
+    /// Adds one replica on unused hosts. Returns whether a replica was added.
     fn use_free_hosts(&mut self) -> bool {
         let found = self.by_need().into_iter().find_map(|model| {
             let narrow = self.shares.iter().filter(|(_, share)| share.is_narrow);
@@ -140,14 +142,15 @@
                 let has_room = fit(self.profiles, &more, &self.domains[domain].fabric_sizes);
                 has_room.then(|| (domain.clone(), more))
             });
-            // Where most of the model stands already, its weights are at hand.
+            // Prefer the failure domain with most replicas of the model: its hosts already hold
+            // the weights.
             room.max_by_key(|(_, counts)| counts[model])
         });
         self.take(found)
     }
 
-    /// Gives up replicas that stand for one of the model that has least, where that is
-    /// worth it. Tells whether it did.
+    /// Exchanges existing replicas for one of the model with the lowest supply, if the gain is
+    /// large enough. Returns whether an exchange was made.
     fn exchange(&mut self) -> bool {
         let least = self.least_supply();
         let Some(model) = self.by_need().first().copied().cloned() else {
@@ -170,7 +173,7 @@
         supplies.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
-    /// The least supply once a domain has these counts.
+    /// The lowest supply of any model if the failure domain had these counts.
     fn least_supply_with(&self, domain: &FailureDomain, counts: &ReplicaCounts) -> f64 {
         let mut shares = self.shares.clone();
         if let Some(share) = shares.get_mut(domain) {
@@ -198,8 +201,8 @@
     more
 }
 
-/// The counts with one more replica of the model, for which others give up as many as
-/// needed.
+/// The counts with one more replica of the model, after removing as many replicas of other models
+/// as necessary. Returns `None` if it does not fit even then.
 fn in_place_of_others(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
--- a/shalehinge/src/core/placement/host_choice.rs
+++ b/shalehinge/src/core/placement/host_choice.rs
@@ -1,8 +1,8 @@
-//! Which free hosts form a new group.
+//! Selection of the free hosts that form a new group.
 //!
-//! Best fit over fabric domains: the group goes where it strands the fewest
-//! hosts, and, as far as the fleet weighs downtime, where a spare host remains
-//! beside it. Hosts that already hold the weights come first.
+//! Best fit over fabric domains: a group is placed where it strands the fewest hosts and,
+//! depending on the configured weight of downtime, where a spare host remains in the same fabric
+//! domain. Hosts that already hold the weights are preferred.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,55 +11,56 @@
 
 use super::stranded::stranded_hosts;
 
-/// How hosts are chosen. `FirstFit` is the baseline of the measurements.
+/// Strategy for selecting hosts. `FirstFit` is the baseline for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HostChoice {
-    /// The fabric domain that strands least, by the fleet's weights.
+    /// The fabric domain with the lowest cost by the fleet's placement weights.
     #[default]
     BestFit,
-    /// The first fabric domain with enough hosts, hosts by name.
+    /// The first fabric domain with enough hosts; hosts in name order.
     FirstFit,
 }
 
-/// A host that a group may be formed on.
+/// A host that is available for new groups.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FreeHost {
-    /// The host; its name and address.
+    /// Host identifier.
     pub host: HostId,
-    /// Where its engine listens.
+    /// Address on which its engine listens.
     pub address: std::net::SocketAddr,
-    /// Whether it holds weights of the wanted version already.
+    /// Whether the host already holds the weights of the wanted version.
     pub warm: bool,
 }
 
 /// Free hosts by fabric domain.
 pub type FreeHosts = BTreeMap<FabricDomain, Vec<FreeHost>>;
 
-/// What the choice depends on besides the free hosts.
+/// Inputs of the selection besides the free hosts.
 #[derive(Clone, Debug)]
 pub struct ChoiceInput<'a> {
-    /// Hosts that the group needs.
+    /// Number of hosts in the group.
     pub size: usize,
-    /// Sizes of all groups that the intents ask for.
+    /// Sizes of all groups that the intents ask for, in hosts.
     pub sizes: &'a BTreeSet<usize>,
-    /// Weights of the fleet.
+    /// Placement weights of the fleet.
     pub weights: PlacementWeights,
-    /// How to choose.
+    /// Selection strategy.
     pub choice: HostChoice,
-    /// Members that may lack the weights.
+    /// Maximum number of members that do not hold the weights yet.
     pub max_loads: usize,
 }
 
-/// A chosen group: members by rank, and how many of them must load weights.
+/// Members selected for a group, and how many of them must load weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenHosts {
-    /// Members by rank.
+    /// Members in rank order.
     pub members: Vec<Member>,
-    /// Members that don't hold the weights yet.
+    /// Number of members that must load the weights first.
     pub loads: u32,
 }
 
-/// Takes hosts for one group out of `free`; `None` if no fabric domain has enough.
+/// Removes the hosts of one group from `free`. Returns `None` if no fabric domain has enough
+/// suitable hosts.
 pub fn take_hosts(free: &mut FreeHosts, input: &ChoiceInput<'_>) -> Option<ChosenHosts> {
     let warm_needed = input.size.saturating_sub(input.max_loads);
     let candidates = free.iter().filter(|(_, hosts)| {
@@ -75,7 +76,7 @@
     .clone();
     let hosts = free.get_mut(&fabric)?;
     if input.choice == HostChoice::BestFit {
-        // A stable sort: warm hosts first, each part by name as before.
+        // The sort is stable: warm hosts first, each part still in name order.
         hosts.sort_by_key(|host| !host.warm);
     }
     let chosen: Vec<FreeHost> = hosts.drain(..input.size).collect();
@@ -92,11 +93,11 @@
     }
 }
 
-/// Cost of taking a group from these free hosts; lower is better.
+/// Cost of placing a group on these free hosts; lower is better.
 fn cost(hosts: &[FreeHost], input: &ChoiceInput<'_>) -> f64 {
-    // What one missing spare costs against one stranded host, both in the
-    // fleet's weights: a group that loses a member waits, spare or not, for
-    // a load; without a spare it waits for a repair.
+    // Stranded hosts and a missing spare are weighed by the fleet's placement weights: a group
+    // that loses a member waits for a load in any case, and for a repair as well if there is no
+    // spare. Loads and remaining hosts only decide between otherwise similar places.
     const LOAD_COST: f64 = 0.05;
     const TIE_BREAK: f64 = 1e-6;
     let before = stranded_hosts(hosts.len(), input.sizes) as f64;
--- a/shalehinge/src/core/placement/make_room.rs
+++ b/shalehinge/src/core/placement/make_room.rs
@@ -1,9 +1,9 @@
-//! Moving a small group so that a larger one can be formed.
+//! Relocation of a small group so that a larger one can be formed.
 //!
-//! A replica that lost a host may have no spare in its fabric domain, while
-//! hosts are free in others, too few in each for a whole replica. Then a smaller
-//! group beside its survivors is formed anew elsewhere, and retired once its
-//! replacement serves: it costs loads and no downtime.
+//! A replica that lost a host may have no spare in its fabric domain, while each of the other
+//! fabric domains has free hosts, but too few for a whole replica. In that case a smaller group
+//! next to the survivors is formed again in another fabric domain, and retired once its
+//! replacement serves. This costs weight loads but no downtime.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,26 @@
 
 use super::host_choice::FreeHosts;
 
-/// Hosts of each fabric domain that are free, or soon will be.
+/// Number of hosts in each fabric domain that are free or about to become free.
 pub type FreeCounts = BTreeMap<FabricDomain, usize>;
 
-/// Counts free hosts.
+/// Counts the free hosts of each fabric domain.
 pub fn count_free(free: &FreeHosts) -> FreeCounts {
     free.iter()
         .map(|(fabric, hosts)| (fabric.clone(), hosts.len()))
         .collect()
 }
 
-/// Where a group is.
+/// Fabric domain of a group. Returns `None` if the group has no members or the list does not
+/// contain its first member.
 pub fn fabric_of<'a>(group: &Group, hosts: &'a HostList) -> Option<&'a FabricDomain> {
     let first = group.members.first()?;
     let host = hosts.hosts.get(&first.host)?;
     Some(&host.fabric_domain)
 }
 
-/// Whether a group of `size` hosts could be formed there without this group.
+/// Whether a group of `size` hosts fits into this group's fabric domain only once this group is
+/// removed.
 pub fn frees_enough(group: &Group, hosts: &HostList, free: &FreeCounts, size: usize) -> bool {
     let Some(fabric) = fabric_of(group, hosts) else {
         return false;
@@ -38,8 +40,8 @@
     left < size && left + group.members.len() >= size
 }
 
-/// The smallest serving group whose hosts would be enough, beside the free ones,
-/// for a group of `size`, and that finds room itself in another fabric domain.
+/// The smallest serving group whose removal would free enough hosts for a group of `size`, and
+/// that itself fits into another fabric domain. Returns the group and its destination.
 pub fn group_to_move(
     assignment: &Assignment,
     hosts: &HostList,
--- a/shalehinge/src/core/placement/mod.rs
+++ b/shalehinge/src/core/placement/mod.rs
@@ -1,20 +1,21 @@
-//! Placement of replicas: which hosts form which group, and why.
+//! Replica placement: which hosts form which group, and why.
 //!
-//! Pure functions from the known objects to steps. `planner` decides the next
-//! steps of one failure domain; the lease holder carries them out. `preview`
-//! runs the same planner ahead, so that an operator sees what would happen.
+//! Pure functions that map the known objects to placement steps. `planner` computes the next
+//! steps of one failure domain, and the lease holder carries them out. `preview` simulates the
+//! same planner, so that an operator sees the effects of a change before it is made.
 //!
 //! - `planner`: the next steps of a failure domain
 //! - `host_choice`: which free hosts form a group
-//! - `preemption`: groups of a well-served model that are preempted for one that lacks more
-//! - `make_room`: moving a small group so that a large one can be formed
-//! - `yielding`: when customers give hosts back
-//! - `shares`: how many replicas follow from the models' parts of the work
-//! - `fleet_shares`: the same for all failure domains, where some are too small for each model
-//! - `need`: how many replicas the work of each model keeps busy
-//! - `divide`: how many replicas go to which failure domain
+//! - `preemption`: preempting groups of a well-supplied model for a model with a larger shortage
+//! - `make_room`: relocating a small group so that a large one can be formed
+//! - `yielding`: when customers give borrowed hosts back
+//! - `shares`: replica counts of one failure domain, derived from the models' work shares
+//! - `fleet_shares`: replica counts across failure domains, some of which are too small for every
+//!   model
+//! - `need`: how many replicas the workload of each model keeps busy
+//! - `divide`: distribution of a model's replicas over failure domains
 //! - `stranded`: idle accelerators that no group can use
-//! - `preview`: the planner run ahead
+//! - `preview`: simulation of the planner
 
 pub mod divide;
 pub mod fleet_shares;
@@ -38,34 +39,34 @@
 use super::objects::Member;
 use super::types::{Customer, GroupNumber, HostId, ModelName, ModelVersion};
 
-/// One change of a failure domain's assignment, with its reason.
+/// A single change to the assignment of a failure domain, with the reason for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementStep {
-    /// Form a new group from free hosts.
+    /// Forms a new group from free hosts.
     Form {
-        /// Model to serve.
+        /// Model that the group serves.
         model: ModelName,
-        /// Version to load.
+        /// Model version that the group loads.
         version: ModelVersion,
-        /// Hosts by rank.
+        /// Hosts in rank order.
         members: Vec<Member>,
-        /// Hosts that must load weights from the weight store.
+        /// Number of hosts that must load weights from the weight store.
         loads: u32,
-        /// Why.
+        /// Why the group is formed.
         reason: FormReason,
     },
-    /// Let a group finish its work and release its hosts.
+    /// Retires a group: it completes its requests, then its hosts are released.
     Retire {
-        /// The group.
+        /// Group to retire.
         group: GroupNumber,
-        /// Why.
+        /// Why the group is retired.
         reason: RetireReason,
     },
-    /// Release a group's hosts at once, as it can't serve.
+    /// Releases a group's hosts immediately, because the group cannot serve.
     Dissolve {
-        /// The group.
+        /// Group to dissolve.
         group: GroupNumber,
-        /// The member whose loss ended it.
+        /// Member whose loss made the group unusable, if known.
         lost: Option<HostId>,
     },
 }
@@ -73,28 +74,28 @@
 /// Why a group is formed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FormReason {
-    /// Fewer replicas than the intent asks for.
+    /// Fewer replicas exist than the intent asks for.
     Missing {
-        /// Replicas wanted here.
+        /// Replicas wanted in this failure domain.
         wanted: u32,
-        /// Replicas that stand or are being formed.
+        /// Replicas that serve or are forming.
         present: u32,
     },
-    /// Takes over from a group of another version.
+    /// Replaces a group that runs another version.
     NewVersion {
-        /// The group that it replaces.
+        /// Group that is replaced.
         replaces: GroupNumber,
     },
-    /// Takes over from a group whose hosts another model's replica needs.
+    /// Replaces a group whose hosts are needed for a replica of another model.
     MakeRoom {
-        /// The group that it replaces.
+        /// Group that is replaced.
         replaces: GroupNumber,
-        /// The model that can then be formed.
+        /// Model that can be formed once the hosts are free.
         room_for: ModelName,
     },
-    /// Takes over from a group with a host that is leaving.
+    /// Replaces a group that has a leaving host.
     HostLeaving {
-        /// The group that it replaces.
+        /// Group that is replaced.
         replaces: GroupNumber,
     },
 }
@@ -102,23 +103,23 @@
 /// Why a group is retired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireReason {
-    /// More replicas than the intent asks for, or none asked for.
+    /// More replicas exist than the intent asks for, or the model is no longer wanted.
     Surplus,
-    /// Another version is wanted.
+    /// The group runs another version than the wanted one.
     OldVersion {
-        /// The version wanted.
+        /// Wanted version.
         wanted: ModelVersion,
     },
-    /// One of its hosts is leaving.
+    /// This member of the group is leaving.
     HostLeaving(HostId),
-    /// Another model lacks more of its replicas than this one will.
+    /// Another model has a larger shortage of replicas than this model will have.
     Preempted {
-        /// The model that gets the hosts.
+        /// Model that gets the hosts.
         to: ModelName,
     },
-    /// Its owner uses more than its share and another waits for its own.
+    /// The owner of the group uses more than its share, and another customer is below its own.
     Yield {
-        /// Who gets the hosts.
+        /// Customer that gets the hosts.
         to: Customer,
     },
 }
--- a/shalehinge/src/core/placement/need.rs
+++ b/shalehinge/src/core/placement/need.rs
@@ -1,5 +1,5 @@
-//! How many replicas the work of each model keeps busy, from what arrives and from the
-//! times that the engines publish.
+//! Estimate of how many replicas the workload of each model keeps busy, from the arriving
+//! requests and the processing times that the engines publish.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,31 @@
 use crate::core::objects::{EngineTimes, ModelProfile};
 use crate::core::types::ModelName;
 
-/// Requests in a sample from which on it counts. A model with a tenth of them is
-/// then known to within a fifth, and less is no reason to move replicas.
+/// Minimum number of sampled requests for an estimate. With 200 requests, the rate of a model
+/// that receives a tenth of them is known to within a fifth; a less precise estimate does not
+/// justify moving replicas.
 const LEAST_SAMPLE: f64 = 200.0;
-/// Replicas that a model keeps busy at the least: nobody asked for it lately, or hardly
-/// anybody, and it may be asked for again.
+/// Lower bound on the busy replicas of a model: a model without recent requests may be requested
+/// again.
 const LEAST_BUSY: f64 = 0.05;
-/// Where an engine publishes no times, an output counts as so many tokens of a prompt.
-/// A token of a full batch takes about as long as ten tokens of a prompt.
+/// Weight of one output in prompt tokens, for engines that publish no processing times. One token
+/// of a full batch takes about as long as ten prompt tokens.
 const OUTPUT_WEIGHT: f64 = 10.0;
-/// And a replica is taken to read so many tokens of a prompt in a second.
+/// Assumed prompt throughput of a replica, in tokens per second, for engines that publish no
+/// processing times.
 const PROMPT_TOKENS_PER_SECOND: f64 = 50_000.0;
 
-/// Replicas that the work of each model keeps busy, running full batches.
+/// Number of replicas, running full batches, that the workload of each model keeps busy.
 pub type Needs = BTreeMap<ModelName, f64>;
 
-/// Nothing is known of what the work needs.
+/// No estimate is available.
 pub static NO_NEEDS: Needs = Needs::new();
 
-/// Factor by which a need must change for the log to name it again.
+/// Factor by which an estimate must change before it is logged again.
 const MUCH: f64 = 1.5;
 
-/// Whether some model's need is another, by far, than it was.
+/// Whether the estimate of any model changed by more than the logging threshold, or the set of
+/// models changed.
 pub fn differ_much(needs: &Needs, others: &Needs) -> bool {
     let is_other = |(model, busy): (&ModelName, &f64)| {
         let before = others.get(model).copied().unwrap_or(0.0);
@@ -37,7 +40,8 @@
     needs.len() != others.len() || needs.iter().any(is_other)
 }
 
-/// What the work that arrives needs; `None` if too little of it was seen.
+/// Estimates the busy replicas of each model from the arriving work. Returns `None` if too few
+/// requests were sampled.
 pub fn needs_of(profiles: &BTreeMap<ModelName, ModelProfile>, work: &FleetWork) -> Option<Needs> {
     if work.sampled_requests < LEAST_SAMPLE {
         return None;
@@ -50,8 +54,8 @@
     Some(needs.collect())
 }
 
-/// Replicas that work of so much a second keeps busy: the time to read the prompts, and
-/// the outputs' part of the steps of full batches.
+/// Replicas kept busy by this work: the time to process the prompts, plus the share of full-batch
+/// steps that produces the outputs.
 fn busy_replicas(profile: &ModelProfile, work: ModelWork) -> f64 {
     let Some(times) = profile.times else {
         let tokens = work.prompt_tokens + OUTPUT_WEIGHT * work.expected_outputs();
--- a/shalehinge/src/core/placement/planner.rs
+++ b/shalehinge/src/core/placement/planner.rs
@@ -1,4 +1,4 @@
-//! The next steps of one failure domain, towards what the operators want.
+//! Computes the next steps that bring one failure domain closer to the configured intents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,41 +17,41 @@
 use super::yielding::group_to_yield;
 use super::{FormReason, PlacementStep, RetireReason};
 
-/// What a host holds in memory: used to save loads from the weight store.
+/// Weights that each host holds, used to avoid loads from the weight store.
 pub type HeldWeights = BTreeMap<HostId, Vec<(ModelName, ModelVersion)>>;
 
-/// Everything that the planner looks at.
+/// Inputs of the planner.
 #[derive(Clone, Debug)]
 pub struct PlacementContext<'a> {
-    /// The failure domain to plan for.
+    /// Failure domain that is planned.
     pub domain: &'a FailureDomain,
-    /// The configuration in force.
+    /// Active configuration.
     pub fleet: &'a FleetConfig,
-    /// The platform's host list.
+    /// Host list of the platform.
     pub hosts: &'a HostList,
-    /// The groups that stand.
+    /// Current groups and hosts that are being released.
     pub assignment: &'a Assignment,
-    /// Hosts that don't answer.
+    /// Hosts that do not answer this daemon.
     pub unreachable: &'a BTreeSet<HostId>,
-    /// Groups known to have lost a member, and which.
+    /// Groups that are known to be lost, each with the lost member if it is known.
     pub lost: &'a BTreeMap<GroupNumber, Option<HostId>>,
-    /// Which weights each host holds.
+    /// Weights that each host holds.
     pub held: &'a HeldWeights,
-    /// How hosts are chosen.
+    /// Strategy for selecting hosts.
     pub choice: HostChoice,
-    /// Groups that may be forming at a time, so that the weight store's rate
-    /// goes to few loads that end soon.
+    /// Maximum number of groups that may be forming at the same time. A limit directs the rate of
+    /// the weight store to a few loads that complete soon.
     pub max_forming: usize,
-    /// Hosts of a new group that may lack the weights.
+    /// Maximum number of hosts of a new group that lack the weights.
     pub max_loads: usize,
-    /// Whether groups above what is wanted stay, unless another model needs their hosts.
+    /// Whether surplus groups are kept until another model needs their hosts.
     pub keeps_surplus: bool,
-    /// What the work of each model needs, where the replicas follow from it.
+    /// Replicas that the workload of each model keeps busy; empty if unknown.
     pub needs: &'a Needs,
 }
 
 impl PlacementContext<'_> {
-    /// Whether new groups may use the host.
+    /// Whether new groups may include the host.
     fn is_usable(&self, id: &HostId) -> bool {
         let Some(host) = self.hosts.hosts.get(id) else {
             return false;
@@ -61,7 +61,7 @@
             && !self.unreachable.contains(id)
     }
 
-    /// Whether the host is to be left in peace, by the platform or an operator.
+    /// Whether the host is leaving according to the platform, or is being drained by an operator.
     fn is_leaving(&self, id: &HostId) -> bool {
         let listed_leaving = self
             .hosts
@@ -71,8 +71,8 @@
         listed_leaving || self.fleet.draining.contains(id)
     }
 
-    /// What replicas of a model are counted against: those that its work keeps busy where
-    /// that is known, else those that are wanted. Only the ratio between models is of use.
+    /// Number of replicas that a model needs: those that its workload keeps busy if this is known
+    /// for all models, otherwise the wanted ones. Only the ratio between models is meaningful.
     pub fn replicas_needed(&self, model: &ModelName) -> f64 {
         let knows_all = self.fleet.models.keys().all(|m| self.needs.contains_key(m));
         if let Some(busy) = self.needs.get(model).filter(|_| knows_all) {
@@ -100,7 +100,7 @@
             .count()
     }
 
-    /// Hosts that no group uses.
+    /// Usable hosts that no group uses, by fabric domain.
     fn free_hosts(&self) -> FreeHosts {
         let used = self.assignment.used_hosts();
         let mut free = FreeHosts::new();
@@ -119,7 +119,8 @@
     }
 }
 
-/// Steps to take now; empty when the domain is as wanted, or must first wait.
+/// Computes the steps to take now. Returns no steps if the failure domain matches the intents, or
+/// must first wait for earlier steps.
 pub fn next_steps(context: &PlacementContext<'_>) -> Vec<PlacementStep> {
     let mut steps = dissolve_lost(context);
     steps.extend(retire_unwanted_models(context));
@@ -166,7 +167,8 @@
         .collect()
 }
 
-/// Models by how much they lack: the load that ends most downtime comes first.
+/// Models in order of increasing supply, so that the loads that end the most downtime are ordered
+/// first.
 fn by_need<'a>(context: &PlacementContext<'a>) -> Vec<(&'a ModelName, &'a ModelIntent)> {
     let serving_part = |model: &ModelName| -> f64 {
         let serving = context
@@ -182,7 +184,7 @@
     models
 }
 
-/// What is left to form groups from.
+/// Remaining hosts and slots for forming groups in this planning round.
 struct Forming {
     free: FreeHosts,
     sizes: BTreeSet<usize>,
@@ -200,7 +202,7 @@
         let retiring = groups
             .filter(|group| group.phase == GroupPhase::Retiring)
             .count();
-        // Hosts that are on their way back may be enough; dead ones are not.
+        // Hosts that are being released may be sufficient, unless they are unreachable.
         let mut releasing = context.assignment.releasing.keys();
         let is_releasing = releasing.any(|host| !context.unreachable.contains(host));
         Self {
@@ -213,7 +215,7 @@
 }
 
 impl Forming {
-    /// Takes out the free hosts of all fabric domains but one.
+    /// Removes and returns the free hosts of all fabric domains except one.
     fn take_all_but(&mut self, fabric: &FabricDomain) -> FreeHosts {
         let kept = self.free.remove(fabric);
         let others = std::mem::take(&mut self.free);
@@ -230,14 +232,14 @@
     steps: &'b mut Vec<PlacementStep>,
 }
 
-/// The standing groups of a model by what should become of them.
+/// Existing groups of a model, classified by what should happen to them.
 #[derive(Default)]
 struct Standing {
-    /// As wanted.
+    /// Groups that match the intent.
     current: Vec<GroupNumber>,
-    /// Of another version.
+    /// Groups with another version or size than wanted.
     old: Vec<GroupNumber>,
-    /// With a leaving host.
+    /// Groups with a leaving host.
     leaving: Vec<(GroupNumber, HostId)>,
 }
 
@@ -287,7 +289,7 @@
         self.context.assignment.groups[number].phase == GroupPhase::Serving
     }
 
-    /// Whether no member of the group is silent.
+    /// Whether all members of the group are reachable.
     fn is_answering(&self, number: &GroupNumber) -> bool {
         let group = &self.context.assignment.groups[number];
         let mut hosts = group.members.iter().map(|member| &member.host);
@@ -327,7 +329,8 @@
         }
     }
 
-    /// A replacement first where hosts allow it; without, the group goes all the same.
+    /// Forms a replacement before retiring a group with a leaving host. If there are no hosts for
+    /// a replacement, the group is retired without one.
     fn replace_leaving(&mut self, standing: &Standing, wanted: usize) {
         let spare_groups = standing.total().saturating_sub(wanted);
         for (index, (number, host)) in standing.leaving.iter().enumerate() {
@@ -345,7 +348,8 @@
         }
     }
 
-    /// One group at a time: a new one first, or, without free hosts, in place.
+    /// Replaces one group at a time: forms the new group first or, without free hosts, retires
+    /// the old one and forms the new one in its place.
     fn replace_old(&mut self, standing: &Standing, wanted: usize) {
         let Some(oldest) = standing.old.first() else {
             return;
@@ -372,7 +376,7 @@
         }
     }
 
-    /// Whether groups of this model still form or retire.
+    /// Whether any group of this model is still forming or retiring.
     fn has_unfinished_change(&self, standing: &Standing) -> bool {
         let retiring = self
             .context
@@ -401,7 +405,7 @@
             return;
         }
         let mut surplus = standing.current.clone();
-        // Groups that don't serve yet go first, then the newest.
+        // Retire groups that do not serve yet first, then the newest ones.
         surplus.sort_by_key(|number| (self.is_serving(number), std::cmp::Reverse(*number)));
         let count = surplus.len().saturating_sub(wanted);
         for number in surplus.into_iter().take(count) {
@@ -409,8 +413,8 @@
         }
     }
 
-    /// Forms a smaller group anew elsewhere, so that its hosts come free for this
-    /// model. One group at a time moves.
+    /// Forms a smaller group again in another fabric domain, so that its hosts become available
+    /// for this model. Only one group is moved at a time.
     fn make_room(&mut self) {
         let context = self.context;
         let is_baseline = context.choice == HostChoice::FirstFit;
@@ -435,9 +439,9 @@
         self.forming.yielded = true;
     }
 
-    /// Preempts a group of a model that lacks less, where that avoids a load, which
-    /// takes several times as long. Until the group is gone, the free hosts beside it
-    /// are kept for this model. Tells whether hosts are coming free.
+    /// Preempts a group of a better-supplied model if that avoids a load, which takes several
+    /// times as long. The free hosts in its fabric domain are reserved for this model until the
+    /// group is gone. Returns whether hosts are about to become free.
     fn preempt(&mut self) -> bool {
         let context = self.context;
         let size = self.intent.hosts_per_replica as usize;
@@ -465,7 +469,7 @@
         true
     }
 
-    /// Free hosts that hold the weights of this model, by fabric domain.
+    /// Number of free hosts that hold the weights of this model, by fabric domain.
     fn count_holding(&self) -> FreeCounts {
         let free = self.forming.free.iter();
         free.map(|(fabric, hosts)| {
@@ -477,7 +481,7 @@
         .collect()
     }
 
-    /// Whether some model has more groups than wanted: one is being moved.
+    /// Whether any model has more groups than wanted, which means that a group is being moved.
     fn is_moving(&self) -> bool {
         let context = self.context;
         context.fleet.models.iter().any(|(model, intent)| {
@@ -489,9 +493,9 @@
         })
     }
 
-    /// The serving group that a surplus one replaces, so that another model that
-    /// lacks a replica gets its hosts. A group with a silent member may be lost in a
-    /// moment, so it replaces none.
+    /// The serving group that a surplus group replaces, so that another model that lacks a
+    /// replica gets its hosts. A group with an unreachable member replaces none, because it may
+    /// be found lost soon.
     fn moved_group(&self, standing: &Standing, wanted: usize) -> Option<GroupNumber> {
         let current = standing.current.iter().copied();
         let answering: Vec<GroupNumber> = current.filter(|n| self.is_answering(n)).collect();
@@ -524,12 +528,12 @@
         self.steps.push(PlacementStep::Retire { group, reason });
     }
 
-    /// Forms one group of this model if hosts and slots are there.
+    /// Forms one group of this model if hosts and slots are available. Returns whether it did.
     fn form(&mut self, reason: FormReason) -> bool {
         self.form_with(self.context.max_loads, reason)
     }
 
-    /// Forms one group of hosts that all hold the weights.
+    /// Forms one group from hosts that all hold the weights. Returns whether it did.
     fn form_without_loads(&mut self, reason: FormReason) -> bool {
         self.form_with(0, reason)
     }
@@ -575,7 +579,8 @@
         true
     }
 
-    /// One group at a time yields, and only when no hosts are coming free.
+    /// Retires a group of a customer above its share. Only one group is retired at a time, and
+    /// only when no hosts are about to become free.
     fn ask_for_yield(&mut self) {
         if self.forming.yielded || self.forming.slots == 0 {
             return;
--- a/shalehinge/src/core/placement/preemption.rs
+++ b/shalehinge/src/core/placement/preemption.rs
@@ -1,10 +1,9 @@
-//! Preemption of groups of a well-served model for one that lacks more.
+//! Preemption of groups of a well-supplied model for a model with a larger shortage.
 //!
-//! A large replica that lost a host may leave survivors that are too few for another
-//! one, or too few that hold its weights, while small groups stand beside them. Where
-//! the large model has less of what it should have than the small one would still have,
-//! a small group is retired: the worse served of the two is then served better, and
-//! sooner than by a load of weights.
+//! When a large replica loses a host, too few survivors, or too few hosts with its weights, may
+//! remain for a new replica, while small groups run in the same fabric domain. If the large model
+//! has a smaller fraction of the replicas it needs than the small model would still have, a small
+//! group is retired. This improves the worse-supplied model, and is faster than loading weights.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +13,7 @@
 use super::make_room::{FreeCounts, fabric_of, frees_enough};
 use super::planner::PlacementContext;
 
-/// Part of the needed replicas of a model that stands, with `more` of them.
+/// Fraction of the model's required replicas that exist, if `more` were added to them.
 fn standing_part(context: &PlacementContext<'_>, model: &ModelName, more: i64) -> f64 {
     let groups = context.assignment.groups.iter();
     let standing = groups.filter(|(number, group)| {
@@ -24,15 +23,15 @@
     (standing.count() as i64 + more) as f64 / context.replicas_needed(model)
 }
 
-/// Whether a host holds the weights of a model, of any version.
+/// Whether a host holds weights of a model, of any version.
 pub fn holds(context: &PlacementContext<'_>, host: &HostId, model: &ModelName) -> bool {
     let held = context.held.get(host);
     held.is_some_and(|held| held.iter().any(|(known, _)| known == model))
 }
 
-/// The group whose hosts, beside the free ones of its fabric domain, are enough for a
-/// group of `size` without a load, and whose model is still served better without it
-/// than `model` is. `free` counts hosts that hold the weights of `model`.
+/// The smallest serving group whose hosts, together with the free hosts of its fabric domain,
+/// suffice for a group of `size` without loading weights, and whose model stays better supplied
+/// than `model` even without it. `free` counts the hosts that hold the weights of `model`.
 pub fn group_to_preempt(
     context: &PlacementContext<'_>,
     free: &FreeCounts,
@@ -60,9 +59,9 @@
     givers.first().map(|(_, number)| *number)
 }
 
-/// A fabric domain where a group of `size` can be formed without a load once those that
-/// retire have left: its free hosts must not be used up meanwhile. `free` counts hosts
-/// that hold the weights of `model`.
+/// A fabric domain in which a group of `size` can be formed without loading weights once the
+/// retiring groups have left. Its free hosts must not be used for other groups meanwhile. `free`
+/// counts the hosts that hold the weights of `model`.
 pub fn fabric_to_keep(
     context: &PlacementContext<'_>,
     free: &FreeCounts,
--- a/shalehinge/src/core/placement/preview.rs
+++ b/shalehinge/src/core/placement/preview.rs
@@ -1,7 +1,8 @@
-//! What would happen, step by step, if nothing failed meanwhile.
+//! Preview of the planner's steps, assuming that nothing fails meanwhile.
 //!
-//! Runs the planner ahead on a copy: each step is taken to succeed. What the
-//! operator reads is so what the lease holder will do.
+//! Simulates the planner on a copy of the assignment and assumes that each step succeeds. The
+//! lease holder runs the same planner, so the preview shows the operator the steps that it will
+//! take.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,28 +17,28 @@
 use super::planner::{HeldWeights, PlacementContext, next_steps};
 use super::stranded::stranded_accelerators;
 
-/// Rounds after which a preview stops, settled or not.
+/// Maximum number of simulated rounds, whether or not the result is stable by then.
 const MAX_ROUNDS: usize = 2_000;
 
-/// What a sequence of steps costs and brings, in one failure domain.
+/// Cost and result of a sequence of steps in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effects {
-    /// Steps in order.
+    /// Steps in execution order.
     pub steps: Vec<PlacementStep>,
-    /// Replicas that serve less than wanted, summed over the rounds: each is a
-    /// replica that is down for about one load.
+    /// Sum over all rounds of the replicas that are wanted but not serving. Each counts as one
+    /// replica that is down for about the duration of one load.
     pub downtime_loads: u32,
-    /// Loads needed from the weight store.
+    /// Number of loads from the weight store.
     pub loads: u32,
-    /// Stranded accelerators before.
+    /// Number of stranded accelerators before the steps.
     pub stranded_before: u32,
-    /// Stranded accelerators after.
+    /// Number of stranded accelerators after the steps.
     pub stranded_after: u32,
-    /// Replicas that are wanted and still missing at the end, by model.
+    /// Number of wanted replicas that are still missing at the end, by model.
     pub missing: BTreeMap<ModelName, u32>,
 }
 
-/// Previews one failure domain.
+/// Simulates the steps for one failure domain, starting from `assignment`.
 pub fn preview(
     domain: &FailureDomain,
     fleet: &FleetConfig,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Replicas wanted and not serving, by model.
+/// Number of replicas that are wanted but not serving, by model.
 fn missing(
     domain: &FailureDomain,
     fleet: &FleetConfig,
@@ -121,7 +122,7 @@
     missing
 }
 
-/// Writes a step into an assignment.
+/// Applies a step to an assignment.
 pub fn apply_step(assignment: &mut Assignment, step: &PlacementStep) {
     match step {
         PlacementStep::Form {
@@ -141,7 +142,7 @@
     }
 }
 
-/// Forming groups become ready, retiring ones are released.
+/// Simulates the end of a round: forming groups serve, and retiring groups are removed.
 fn finish_changes(assignment: &mut Assignment) {
     assignment.releasing.clear();
     assignment
--- a/shalehinge/src/core/placement/shares.rs
+++ b/shalehinge/src/core/placement/shares.rs
@@ -1,19 +1,19 @@
-//! How many replicas of each model a failure domain should have, from the models'
-//! parts of the work.
+//! Number of replicas of each model in a failure domain, derived from the models' shares of the
+//! work.
 //!
-//! A model's part of the work is its part of the hosts. What is left once each model
-//! has its part goes to the models with the smallest replicas: their hosts are the
-//! first to be preempted when a larger replica loses a member.
+//! A model receives the same share of the hosts as it has of the work. Hosts that remain
+//! afterwards go to the models with the smallest replicas, because these are preempted first when
+//! a larger replica loses a member.
 
 use std::collections::BTreeMap;
 
 use crate::core::objects::ModelProfile;
 use crate::core::types::ModelName;
 
-/// Replicas by model.
+/// Number of replicas by model.
 pub type ReplicaCounts = BTreeMap<ModelName, u32>;
 
-/// How many replicas of each model these are.
+/// Counts the replicas of each model; `models` yields the model of each replica.
 pub fn count_models<'a>(models: impl Iterator<Item = &'a ModelName>) -> ReplicaCounts {
     let mut counts = ReplicaCounts::new();
     for model in models {
@@ -22,8 +22,8 @@
     counts
 }
 
-/// Divides the hosts of fabric domains of these sizes among the models; `spare_share`
-/// is the part of the hosts that stays free once each model has its part.
+/// Divides the hosts of fabric domains with these sizes among the models. `spare_share` is the
+/// fraction of the hosts, 0 to 1, that stays free once each model has its share.
 pub fn replicas_by_share(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -44,14 +44,14 @@
     fill(profiles, fabric_sizes, usable, counts)
 }
 
-/// Hosts that need not stay free once each model has its part.
+/// Number of hosts that may be used once each model has its share.
 pub fn usable_hosts(fabric_sizes: &[usize], spare_share: f64) -> usize {
     let hosts: usize = fabric_sizes.iter().sum();
     (hosts as f64 * (1.0 - spare_share)).floor() as usize
 }
 
-/// Adds replicas, the smallest first, as long as they find room and leave all but
-/// `usable` hosts free.
+/// Adds replicas, smallest first, as long as they fit and the replicas use at most `usable` hosts
+/// in total.
 pub fn fill(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -74,8 +74,9 @@
     counts
 }
 
-/// As many of these replicas as find room. The richest model gives up first, its last
-/// replica only when no model has more than one; what room is left then is used.
+/// Reduces `wanted` to replicas that fit. The model with the highest supply is reduced first, but
+/// loses its last replica only when no model has more than one. Space that remains is then filled
+/// up to the wanted counts.
 pub fn replicas_that_fit(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -102,8 +103,7 @@
     counts
 }
 
-/// The model with the most hosts against its part, of those with more than `least`
-/// replicas.
+/// The model with the highest supply among those with more than `least` replicas.
 fn richest(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
@@ -113,7 +113,7 @@
     most_spared(profiles, counts, models)
 }
 
-/// Of these models the one with the most hosts against its part.
+/// The model with the highest supply among `models`.
 pub(super) fn most_spared<'a>(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
@@ -125,7 +125,7 @@
         .cloned()
 }
 
-/// Hosts of so many replicas of a model against its part of the work.
+/// Supply of a model: the ratio of the hosts of these replicas to the model's share of the work.
 pub(super) fn supply(replicas: u32, profile: &ModelProfile) -> f64 {
     const LEAST_SHARE: f64 = 1e-3;
     let hosts = f64::from(replicas * profile.hosts_per_replica);
@@ -137,7 +137,7 @@
     counts.iter().map(hosts).sum::<u32>() as usize
 }
 
-/// Whether so many replicas find room, the large ones placed first.
+/// Whether these replicas fit into the fabric domains, placing large ones first.
 pub(super) fn fit(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
--- a/shalehinge/src/core/placement/stranded.rs
+++ b/shalehinge/src/core/placement/stranded.rs
@@ -1,11 +1,12 @@
-//! Stranded accelerators: idle ones around which no complete group can form.
+//! Stranded accelerators: idle accelerators that cannot be part of a complete group.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::core::objects::{Assignment, FleetConfig, HostList, HostState, ModelIntent};
 use crate::core::types::{FabricDomain, FailureDomain, ModelName};
 
-/// How many of `free` hosts no set of groups of these sizes can use.
+/// Number of hosts, out of `free`, that remain unused by any combination of groups of these
+/// sizes.
 pub fn stranded_hosts(free: usize, sizes: &BTreeSet<usize>) -> usize {
     let mut reachable = vec![false; free + 1];
     reachable[0] = true;
@@ -18,7 +19,7 @@
     free - most_used
 }
 
-/// Sizes of the groups that the intents ask for.
+/// Sizes of the groups that the intents ask for, in hosts.
 pub fn group_sizes(fleet: &FleetConfig) -> BTreeSet<usize> {
     fleet
         .models
@@ -27,7 +28,7 @@
         .collect()
 }
 
-/// Sizes of the groups that are wanted in a failure domain and don't stand.
+/// Sizes, in hosts, of the groups that are wanted in a failure domain but do not exist.
 fn missing_sizes(
     fleet: &FleetConfig,
     domain: &FailureDomain,
@@ -47,11 +48,11 @@
         .collect()
 }
 
-/// Accelerators that are stranded in a failure domain.
+/// Number of stranded accelerators in a failure domain.
 ///
-/// While replicas are missing, these are the idle ones around which none of the
-/// missing can be formed; otherwise those that no group of any wanted size could
-/// use. Those of leaving hosts don't count, as the platform takes them back.
+/// While replicas are missing, these are the idle accelerators that cannot be used for any of the
+/// missing replicas; otherwise those that no group of any wanted size could use. Accelerators of
+/// leaving hosts are not counted, because the platform takes them back.
 pub fn stranded_accelerators(
     hosts: &HostList,
     fleet: &FleetConfig,
--- a/shalehinge/src/core/placement/yielding.rs
+++ b/shalehinge/src/core/placement/yielding.rs
@@ -1,24 +1,23 @@
-//! When customers yield hosts to one another.
+//! Return of borrowed hosts between customers.
 //!
-//! Hosts that a customer doesn't use are lent to the others. When a customer
-//! below its share misses a replica and no hosts are free, one that is above
-//! its share gives a group back.
+//! Hosts that a customer does not use are lent to other customers. When a customer below its
+//! share is missing a replica and no hosts are free, a customer above its share gives up a group.
 
 use std::collections::BTreeMap;
 
 use crate::core::objects::{Assignment, FleetConfig, GroupPhase};
 use crate::core::types::{Customer, GroupNumber, ModelName};
 
-/// Hosts in use and hosts due, of one customer in one failure domain.
+/// Host usage and entitlement of one customer in one failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Hosts in groups of its models.
+    /// Number of hosts in groups of its models.
     pub used: usize,
-    /// Hosts that its share comes to.
+    /// Number of hosts that its share entitles it to.
     pub due: f64,
 }
 
-/// Usage by customer, of those that own models.
+/// Usage of each customer that owns models; `host_count` is the number of hosts that are divided.
 pub fn usage(
     fleet: &FleetConfig,
     assignment: &Assignment,
@@ -47,7 +46,9 @@
     usage
 }
 
-/// The group that should yield to `wanting`, and to whom its hosts go.
+/// The group that should be given up for the model `wanting`, and the customer that gets its
+/// hosts. Returns `None` if the owner of `wanting` would exceed its share, or if no other
+/// customer can give up a group and stay at or above its own.
 pub fn group_to_yield(
     fleet: &FleetConfig,
     assignment: &Assignment,
