--- a/shalehinge/src/core/controller/adoption.rs
+++ b/shalehinge/src/core/controller/adoption.rs
@@ -1,8 +1,9 @@
-//! Groups that stand, where what is stored of them can't be read any more, or is of a copy that
-//! the store was restored from.
+//! Adoption of running groups when the stored assignment cannot be decoded, or comes from a
+//! backup that the store was restored from.
 //!
-//! The host list shows which hosts are in which group and who takes its requests. A group that
-//! is shown whole is taken over as it stands; hosts of any other are told to leave it.
+//! The host list shows which hosts belong to which group, and which host takes requests for it. A
+//! group that is listed completely is adopted as it is; hosts of any other group are ordered to
+//! leave it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,18 +18,20 @@
 use crate::core::types::{GroupNumber, HostId, ModelName, ModelVersion};
 use crate::settings::control::Assembly;
 
-/// Numbers above the highest shown that may have been used. Far more groups than a
-/// failure domain begins between two lists, and numbers cost nothing.
+/// Number of group numbers above the highest listed one that are skipped, because they may have
+/// been used. This is far more than the number of groups that a failure domain starts between two
+/// host lists, and unused numbers cost nothing.
 pub(super) const NUMBERS_UNSEEN: u64 = 1_000;
 
-/// Where an assignment that was read comes from.
+/// Origin of an assignment that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// It was written in the store's present era.
+    /// Written in the current era of the store.
     Current,
-    /// It is older than the store's present era, as is all that the store lost since.
+    /// Restored from a backup: older than the current era of the store, so later changes are
+    /// lost.
     Copy,
-    /// Another program wrote it, in a form of its own.
+    /// Overwritten by another program, in a format that this daemon cannot decode.
     Foreign,
 }
 
@@ -36,8 +39,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Current => "current",
-            Self::Copy => "of a copy",
-            Self::Foreign => "not ours",
+            Self::Copy => "restored from a backup",
+            Self::Foreign => "not readable",
         })
     }
 }
@@ -45,14 +48,14 @@
 type Shown<'a> = Vec<(&'a HostId, &'a ListedHost)>;
 
 impl Controller {
-    /// Whether groups that stand are taken from the list before anything else is decided. Only a
-    /// list of engines that join by order shows them.
+    /// Whether running groups are adopted from the host list before anything else is decided.
+    /// Only engines that join by order report their groups in the list.
     pub(super) fn adopts(&self) -> bool {
         self.origin != Origin::Current && self.settings.assembly == Assembly::Orders
     }
 
-    /// Whether the list shows the groups that stand. After a copy hosts write their entries again,
-    /// which takes them a while.
+    /// Whether the host list is recent enough to show the running groups. After a restore, hosts
+    /// need some time to write their entries again.
     pub(super) fn knows_what_stands(&self) -> bool {
         let wait = match self.origin {
             Origin::Copy => RETURN_WAIT,
@@ -62,7 +65,8 @@
         seen_at.is_some_and(|seen_at| self.is_list_newer(seen_at + wait))
     }
 
-    /// What is stored, where the list does not show otherwise, with the groups that stand.
+    /// Merges the running groups into the stored assignment; where both disagree, the host list
+    /// takes precedence.
     pub(super) fn taken_over(&self, stored: Assignment, state: &FleetState) -> Assignment {
         let shown = self.adopted(state);
         let mut value = stored;
@@ -85,7 +89,7 @@
         value
     }
 
-    /// The assignment, by what the list shows.
+    /// The assignment that follows from the host list alone.
     fn adopted(&self, state: &FleetState) -> Assignment {
         let mut by_group: BTreeMap<GroupNumber, Shown<'_>> = BTreeMap::new();
         for (host, listed) in self.listed.iter().filter(|(_, listed)| listed.is_listed) {
@@ -106,7 +110,7 @@
     }
 }
 
-/// The group that these hosts show, if its rank 0 takes requests and no member is missing.
+/// The group that these hosts report, if its rank 0 takes requests and no member is missing.
 fn whole_group(number: GroupNumber, mut shown: Shown<'_>, state: &FleetState) -> Option<Group> {
     let is_head = |listed: &ListedHost| status_of(listed).is_some_and(|s| s.shows_open(number));
     let is_ready = |listed: &ListedHost| status_of(listed).is_some_and(|s| s.shows_ready(number));
@@ -134,7 +138,7 @@
     }
 }
 
-/// Hosts of a replica, by the configuration.
+/// Number of hosts of a replica, according to the configuration.
 fn hosts_of(model: &ModelName, state: &FleetState) -> Option<usize> {
     let profile = state.fleet()?.value.profiles.get(model)?;
     Some(profile.hosts_per_replica as usize)
--- a/shalehinge/src/core/controller/calls.rs
+++ b/shalehinge/src/core/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and looks at them, as they follow from the stored assignment.
+//! Orders to engines and probes of engines, as they follow from the stored assignment.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::settings::control::Assembly;
 
 impl Controller {
-    /// Orders and probes that follow from the stored assignment.
+    /// Returns the orders and probes that are due for the stored assignment.
     pub(super) fn calls(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
         if self.settings.assembly == Assembly::Orders {
             return self.ordered_calls(now, epoch);
@@ -32,7 +32,7 @@
         actions
     }
 
-    /// Whether a host may be called now for this purpose; notes the call.
+    /// Whether a host may be called now for this purpose. Records the call if so.
     fn is_due(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
         let due = self
             .next_call_at
@@ -45,7 +45,8 @@
         due
     }
 
-    /// A group that looks incomplete is looked at as often as one that changes.
+    /// Interval between calls for a purpose. A group that appears incomplete is probed as often
+    /// as a changing group gets orders.
     fn call_interval(&self, now: Timestamp, purpose: CallPurpose) -> Duration {
         let CallPurpose::Probe(group) = purpose else {
             return self.settings.order_interval;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Rank 0 finishes its requests first; only then may the others leave.
+    /// Rank 0 finishes its requests first; only then are the other members released.
     fn order_retirement(
         &mut self,
         now: Timestamp,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Hosts of dissolved groups are told to leave until they show that they have.
+    /// Orders hosts of dissolved groups to leave, until they confirm that they have left.
     fn order_releases(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
         let Some(stored) = &self.stored else {
             return Vec::new();
--- a/shalehinge/src/core/controller/departures.rs
+++ b/shalehinge/src/core/controller/departures.rs
@@ -1,4 +1,4 @@
-//! Hosts that leave their groups, and when they may join others.
+//! Hosts that leave their groups, and the conditions under which other groups may use them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::core::objects::{Assignment, Member};
 use crate::core::types::{Epoch, GroupNumber, HostId, Timestamp};
 
-/// How long new groups wait for hosts that are being released.
+/// How long the formation of new groups waits for hosts that are being released.
 const SURVIVOR_WAIT: Duration = Duration::from_millis(400);
 
 impl Controller {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Hosts of dissolved groups, and hosts that stand in a group which the assignment
-    /// no longer has, are told to leave it.
+    /// Orders hosts to leave their group if the group was dissolved, or if the assignment no
+    /// longer contains the group that the list shows them in.
     pub(super) fn release_hosts(
         &mut self,
         now: Timestamp,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Hosts of no group that are shown in one which the assignment surely doesn't have any
-    /// more, to be told to leave it.
+    /// Hosts without a group in the assignment that the list shows in one, if the list is recent
+    /// enough to be sure that the group no longer exists. They are ordered to leave it.
     fn strays(&self, value: &Assignment) -> BTreeMap<HostId, GroupNumber> {
         if self.trusts_absence() {
             self.shown_in_a_group(value)
@@ -70,11 +70,12 @@
         }
     }
 
-    /// Hosts of no group that the list shows in one all the same; not to be used until they
-    /// left it. That counts in an old list too: a member that was cut off when its group was
-    /// dissolved may be back, was never told to leave, and its rank 0 may still be open. A
-    /// new holder that looked at newer lists alone put such a member into another group
-    /// within 100 ms (one in eight plays of a day with cuts and a lease that passes on).
+    /// Hosts without a group in the assignment that the list shows in one. They must not be used
+    /// until they have left it, even if the list is old: a member that was cut off when its group
+    /// was dissolved may be reachable again without having been ordered to leave, while its rank
+    /// 0 is still open. A new holder that considered only newer lists put such a member into
+    /// another group within 100 ms (in one of eight replays of a day with network cuts and a
+    /// lease handover).
     pub(super) fn shown_in_a_group(&self, value: &Assignment) -> BTreeMap<HostId, GroupNumber> {
         let used = value.used_hosts();
         self.listed
@@ -88,8 +89,8 @@
             .collect()
     }
 
-    /// Hosts of dissolved groups are free once they left and their rank 0 surely
-    /// serves no more.
+    /// Frees hosts of dissolved groups once they have left and the rank 0 of their group is known
+    /// to have stopped serving.
     pub(super) fn take_departures(&mut self, now: Timestamp, value: &mut Assignment) {
         for (host, number) in &value.releasing {
             let is_head = value.heads.get(number) == Some(host);
@@ -121,7 +122,8 @@
             .retain(|number, _| heads.contains_key(number));
     }
 
-    /// Whether hosts are about to be free that can be had again at once.
+    /// Whether hosts that can soon be used again are still being released, within the time that
+    /// new groups wait for them.
     pub(super) fn awaits_survivors(
         &mut self,
         now: Timestamp,
@@ -138,8 +140,8 @@
         })
     }
 
-    /// Whether rank 0 of a dissolved group left it, or stood still for so long after
-    /// the others left that it is broken.
+    /// Whether rank 0 of a dissolved group has left it, or has been stalled since the other
+    /// members left for so long that it is considered broken.
     fn serves_no_more(&self, now: Timestamp, number: GroupNumber, head: &HostId) -> bool {
         let stands_long = self
             .standing_since
--- a/shalehinge/src/core/controller/list_outage.rs
+++ b/shalehinge/src/core/controller/list_outage.rs
@@ -1,30 +1,30 @@
-//! Entries of hosts that lapse while the platform is away.
+//! Host entries that expire during an outage of the platform.
 //!
-//! A host's entry goes when it has not been renewed for three heartbeats, also where the
-//! platform was away and the host lives. Such entries are back soon after the platform's
-//! return; until then a host that is missing is not taken as gone.
+//! The entry of a host expires when it was not renewed for three heartbeats, even if the host is
+//! alive and only the platform was unavailable. Such entries reappear soon after the platform
+//! recovers; until then a host that is missing from the list is not considered gone.
 
 use std::time::Duration;
 
 use crate::core::types::Timestamp;
 
-/// Heartbeats without a newer list after which entries may have lapsed: an entry lapses
-/// after three, and its last one may lie one before the outage.
+/// Number of heartbeats without a newer list after which entries may have expired. An entry
+/// expires after three, and its last renewal may be one heartbeat older than the outage.
 const LAPSE_HEARTBEATS: u32 = 2;
-/// Time after the platform's return in which lapsed entries come back. The platform
-/// promises about two seconds; the rest is for the list's own delay.
+/// Time after the recovery of the platform within which expired entries reappear. The platform
+/// promises about two seconds; the rest covers the delay of the list itself.
 pub(super) const RETURN_WAIT: Duration = Duration::from_millis(2_500);
 
-/// How the list's age went on.
+/// Tracks how the age of the host list develops.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ListOutage {
     as_of: Option<Timestamp>,
-    /// The time of which the first list after the last outage was true.
+    /// Time at which the first list after the last outage was current.
     returned_at: Option<Timestamp>,
 }
 
 impl ListOutage {
-    /// The list is now known to be true as of then.
+    /// Takes in that the list is current as of this time.
     pub(super) fn note(&mut self, as_of: Option<Timestamp>, heartbeat: Duration) {
         let passed = as_of.zip(self.as_of).map(|(now, then)| now.since(then));
         if passed.is_some_and(|passed| passed > heartbeat * LAPSE_HEARTBEATS) {
@@ -33,7 +33,7 @@
         self.as_of = self.as_of.max(as_of);
     }
 
-    /// Whether entries that lapsed may still come back.
+    /// Whether entries that expired during the last outage may still reappear.
     pub(super) fn may_return(&self) -> bool {
         let (Some(as_of), Some(returned_at)) = (self.as_of, self.returned_at) else {
             return false;
--- a/shalehinge/src/core/controller/load_budget.rs
+++ b/shalehinge/src/core/controller/load_budget.rs
@@ -1,9 +1,10 @@
-//! How many loads from the weight store may begin now.
+//! Rate limit for loads from the weight store.
 //!
-//! The rate is the fleet's; each failure domain has an even part of it, so that all
-//! together stay below it without asking each other. The store also serves only so many
-//! loads at full speed: more slow each other down. Groups that form need their loads now,
-//! so second weights are loaded with what those leave.
+//! The limit applies to the whole fleet. Each failure domain uses an equal part of it, so that
+//! the total stays below the limit without coordination. The store also serves only a limited
+//! number of loads at full speed; further loads slow each other down. Forming groups need their
+//! loads immediately, so weights of second models are loaded only with the capacity that forming
+//! groups leave.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,16 +12,16 @@
 
 use crate::core::types::Timestamp;
 
-/// Loads that may be saved up, in seconds of the rate.
+/// Maximum unused budget, as seconds of the rate.
 const SAVED_SECONDS: f64 = 1.0;
-/// Part of the loads at full speed that second weights may take. With all of the rate for
-/// them, some 120 loads ran beside 20 at full speed after a tenth of the hosts was cut off,
-/// and groups that lacked one load formed for more than 16 s in place of 12.
+/// Fraction of the full-speed loads that weights of second models may use. Without this limit,
+/// about 120 loads ran where 20 run at full speed after a tenth of the hosts was cut off, and
+/// groups that lacked one load took more than 16 s to form instead of 12 s.
 const SECOND_WEIGHTS_PART: f64 = 0.5;
-/// How long a load takes where the model does not say. That of a large model.
+/// Load duration that is assumed if the model does not specify one: that of a large model.
 const USUAL_LOAD: Duration = Duration::from_secs(16);
 
-/// The budget of one failure domain.
+/// Load budget of one failure domain.
 #[derive(Clone, Debug)]
 pub struct LoadBudget {
     per_second: Option<f64>,
@@ -28,7 +29,7 @@
     load_time: Duration,
     tokens: f64,
     filled_at: Timestamp,
-    /// When the loads that run are over, if they run at full speed.
+    /// End of each running load, assuming full speed.
     running_until: BinaryHeap<Reverse<Timestamp>>,
 }
 
@@ -46,19 +47,19 @@
 }
 
 impl LoadBudget {
-    /// Sets the rate of this failure domain; `None` is without bounds.
+    /// Sets the rate for this failure domain in loads per second; `None` means no limit.
     pub fn set_rate(&mut self, per_second: Option<f64>) {
         self.per_second = per_second;
     }
 
-    /// Sets how many loads of this failure domain run at full speed at a time, if that is
-    /// bounded, and how long one takes, if that is known.
+    /// Sets the number of loads of this failure domain that run at full speed at the same time,
+    /// and the duration of one load. `None` means no limit and a default duration, respectively.
     pub fn set_at_once(&mut self, at_once: Option<f64>, load_time: Option<Duration>) {
         self.at_once = at_once;
         self.load_time = load_time.unwrap_or(USUAL_LOAD);
     }
 
-    /// Takes out one load of a group that forms, if one is allowed now.
+    /// Takes one load for a forming group from the budget. Returns whether the load may begin.
     pub fn take(&mut self, now: Timestamp) -> bool {
         let is_allowed = self.take_from_rate(now);
         if is_allowed {
@@ -67,11 +68,12 @@
         is_allowed
     }
 
-    /// Takes out one load of second weights, if one is allowed now.
+    /// Takes one load for the weights of a second model from the budget. Returns whether the load
+    /// may begin.
     pub fn take_for_second_weights(&mut self, now: Timestamp) -> bool {
         let most = self.at_once.map(|at_once| at_once * SECOND_WEIGHTS_PART);
         let running = self.running(now) as f64;
-        // One at a time is always allowed.
+        // A single load is always allowed.
         let is_free = running == 0.0 || most.is_none_or(|most| running + 1.0 <= most);
         is_free && self.take(now)
     }
--- a/shalehinge/src/core/controller/load_crashes.rs
+++ b/shalehinge/src/core/controller/load_crashes.rs
@@ -1,53 +1,57 @@
-//! Models whose load ends the engines that try it.
+//! Models whose loading crashes engines.
 //!
-//! An engine that starts again under its name after it was ordered to load a model may have
-//! crashed of it. One such crash changes nothing: engines also lose power. After the second in a
-//! row one engine at a time tries the model, and from the third on each trial waits longer than
-//! the one before. A load that succeeds ends all of it. Other models go on.
+//! An engine that restarts after it was ordered to load a model may have crashed because of the
+//! model. One such crash has no effect, since engines also lose power. After two consecutive
+//! crashes only one engine at a time may load the model, and from the third crash on each attempt
+//! waits longer than the one before. A successful load resets the state. Other models are not
+//! affected.
 //!
-//! Without it an engine ended 1,081 times in five minutes where one group of the model was to
-//! form, and 16 engines 5,984 times each where all groups were (`tests/crashing_models.rs`).
+//! Without this limit an engine crashed 1,081 times in five minutes while one group of the model
+//! was to form, and 16 engines crashed 5,984 times each while all groups were to form
+//! (`tests/crashing_models.rs`).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::core::types::{HostId, ModelName, Timestamp};
 
-/// Ends of engines within this time are one crash. The engines of a group are ordered to
-/// load within less, and hosts that lose power together are listed anew within less.
+/// Engine restarts within this time count as one crash. The engines of a group are ordered to
+/// load within a shorter time, and hosts that lose power together are listed again within a
+/// shorter time.
 const SAME_CRASH: Duration = Duration::from_secs(1);
-/// Crashes in a row from which on a model is loaded by one engine at a time.
+/// Number of consecutive crashes from which on only one engine at a time loads the model.
 const ONE_AT_A_TIME_AFTER: u32 = 2;
-/// Crashes in a row after which loads of the model wait.
+/// Number of consecutive crashes from which on loads of the model wait.
 const WAIT_AFTER: u32 = 3;
-/// The first such wait, doubled each time. Most loads take longer than that.
+/// First wait, doubled with each further crash. Most loads take longer than that.
 const FIRST_WAIT: Duration = Duration::from_secs(10);
-/// The longest one. An hour costs twelve engines at the most, and whoever mends the
-/// model waits five minutes for it.
+/// Longest wait. It limits the cost to about twelve crashes per hour, and after the model is
+/// fixed it is loaded again within five minutes.
 const LONGEST_WAIT: Duration = Duration::from_secs(300);
-/// How long a trial keeps other engines from loading, where its end is not seen. Twice
-/// the longest load of the models so far.
+/// How long an attempt prevents other engines from loading the model if its result is not
+/// observed. Twice the longest load of the models so far.
 const TRIAL_TIME: Duration = Duration::from_secs(40);
 
 #[derive(Clone, Debug)]
 struct Record {
-    /// In a row, with no load that succeeded between.
+    /// Number of crashes without a successful load in between.
     crashes: u32,
-    /// When the last of them was first seen.
+    /// Time at which the last crash was first observed.
     crashed_at: Timestamp,
     next_load_at: Timestamp,
     trial: Option<(HostId, Timestamp)>,
 }
 
-/// Crashes in a row, by the model that was to be loaded.
+/// Consecutive crashes by the model that was being loaded.
 #[derive(Clone, Debug, Default)]
 pub struct LoadCrashes {
     models: BTreeMap<ModelName, Record>,
 }
 
 impl LoadCrashes {
-    /// An engine started again after it was ordered to load the model. Returns how many times
-    /// in a row that happened and how long loads of the model wait, if it is another crash.
+    /// Records that an engine restarted after it was ordered to load the model. Returns the
+    /// number of consecutive crashes and how long loads of the model wait, or `None` if the
+    /// restart belongs to a crash that was already recorded.
     pub fn note_crash(&mut self, now: Timestamp, model: &ModelName) -> Option<(u32, Duration)> {
         let record = self.models.entry(model.clone()).or_insert(Record {
             crashes: 0,
@@ -67,12 +71,12 @@
         Some((record.crashes, wait))
     }
 
-    /// An engine holds the model in memory since its last load.
+    /// Records that an engine loaded the model successfully.
     pub fn note_loaded(&mut self, model: &ModelName) {
         self.models.remove(model);
     }
 
-    /// Whether an engine may be ordered to load the model.
+    /// Whether the engine of a host may be ordered to load the model.
     pub fn may_load(&self, now: Timestamp, model: &ModelName, host: &HostId) -> bool {
         let Some(record) = self.models.get(model) else {
             return true;
@@ -87,7 +91,7 @@
         now >= record.next_load_at && !is_others
     }
 
-    /// An engine is ordered to load the model.
+    /// Records that the engine of a host is ordered to load the model.
     pub fn note_order(&mut self, now: Timestamp, model: &ModelName, host: &HostId) {
         if let Some(record) = self.models.get_mut(model) {
             record.trial = Some((host.clone(), now));
@@ -96,7 +100,7 @@
 }
 
 fn wait_after(crashes: u32) -> Duration {
-    /// Enough to reach the longest wait.
+    /// Sufficient to reach the longest wait.
     const MOST_DOUBLINGS: u32 = 10;
     let Some(doublings) = crashes.checked_sub(WAIT_AFTER) else {
         return Duration::ZERO;
--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -1,24 +1,22 @@
-//! Control of a failure domain: the lease holder brings its groups to what the
-//! configuration wants.
+//! Control of a failure domain: the lease holder reconciles its groups with the configuration.
 //!
-//! The assignment object is written first, orders follow from what is stored.
-//! A group serves once all members were seen ready. A host that leaves a group
-//! stays in `releasing` until its engine shows that it has left; only then can
-//! another group get it.
+//! The assignment object is written first, and orders follow from the stored assignment. A group
+//! serves once all its members were reported ready. A host that leaves a group stays in
+//! `releasing` until its engine confirms that it has left; only then can another group use it.
 //!
-//! - `adoption`: groups that stand, where what is stored of them can't be read
-//! - `calls`: orders and looks that follow from what is stored
+//! - `adoption`: taking over running groups when the stored assignment is unreadable or outdated
+//! - `calls`: orders and probes that follow from the stored assignment
 //! - `ordered`: the same for engines that join and open by order
-//! - `ordered_plan`: what a holder wants next of these
-//! - `reported`: the same for engines that report how far they are
-//! - `reachability`: hosts that this daemon can't reach, where engines join by order
-//! - `own_reach`: whether a silence says something of the host, or of this daemon
-//! - `service_plan`: what follows from the models' parts of the work
-//! - `departures`: hosts that leave, and when they may join others
-//! - `staging`: second weights on every host
-//! - `list_outage`: entries that lapse while the platform is away
-//! - `load_budget`: how many loads may begin
-//! - `load_crashes`: models whose load ends the engines that try it
+//! - `ordered_plan`: the next assignment for these engines
+//! - `reported`: the next assignment for engines that report their progress
+//! - `reachability`: hosts that this daemon cannot reach, for engines that join by order
+//! - `own_reach`: whether a missing answer is evidence against the host or against this daemon
+//! - `service_plan`: replica counts derived from the models' work shares
+//! - `departures`: hosts that leave groups, and when other groups may use them
+//! - `staging`: weights of a second model on every host
+//! - `list_outage`: host entries that expire during an outage of the platform
+//! - `load_budget`: rate limit for loads from the weight store
+//! - `load_crashes`: models whose loading crashes engines
 
 mod adoption;
 mod calls;
@@ -58,43 +56,45 @@
 use own_reach::OwnReach;
 use service_plan::ServicePlans;
 
-/// What the controller wants done.
+/// Action that the controller requests from the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControllerAction {
-    /// Read the assignment object.
+    /// Reads the assignment object.
     Read,
-    /// Write the assignment object conditionally.
+    /// Writes the assignment object if its version matches.
     Write {
-        /// Version that it must have.
+        /// Version that the stored object must have.
         expect: Version,
-        /// The new value.
+        /// New value.
         value: Assignment,
     },
-    /// Send an order to the engine of a host.
+    /// Sends an order to the engine of a host.
     Order {
-        /// The host.
+        /// Host that receives the order.
         host: HostId,
-        /// Where its engine listens.
+        /// Address on which its engine listens.
         address: Address,
-        /// The order.
+        /// Order to send.
         order: Order,
     },
-    /// Ask rank 0 of a group for its status.
+    /// Asks a host for the status of its engine.
     Probe {
-        /// The group.
+        /// Group for which the host is probed, or `GroupNumber::PRIMING` if the probe only checks
+        /// whether the host is reachable.
         group: GroupNumber,
-        /// Its rank 0.
+        /// Host to probe: rank 0 of the group or, where engines join by order, any host.
         rank_zero: Member,
     },
-    /// Ask routers which replicas of the failure domain bring output.
+    /// Asks routers which replicas of the failure domain currently produce output.
     AskMoving,
-    /// Tell all routers that a group surely lost a member.
+    /// Notifies all routers that a group has lost a member and is stalled.
     TellLost(GroupNumber),
-    /// A line for the log of decisions.
+    /// Writes a line to the decision log.
     Log(String),
 }
 
-/// What a host was last called for. A call for another purpose need not wait.
+/// Purpose of the last call to a host. A call for another purpose does not wait for the call
+/// interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPurpose {
     Load(GroupNumber),
@@ -106,42 +106,43 @@
     Prime,
 }
 
-/// What is known of a group's health.
+/// Health of a group, as far as it is known.
 #[derive(Clone, Debug, Default)]
 struct GroupHealth {
     incomplete_since: Option<Timestamp>,
     lost_member: Option<HostId>,
     is_lost: bool,
-    /// A look at a member showed the loss, so nothing moves in the group any more. What
-    /// only the list lost may still finish its requests.
+    /// A probe showed the loss, so the group no longer makes progress. A group that only
+    /// disappeared from the host list may still finish its requests.
     stands_still: bool,
-    /// The routers were told that it stands still.
+    /// The routers were notified that the group is stalled.
     is_told: bool,
-    /// A router saw it incomplete; it is looked at often until then.
+    /// Until when the group is probed often, after a router reported that it is stalled.
     suspect_until: Option<Timestamp>,
-    /// A router had output of the group at this time or later.
+    /// Latest time at which a router is known to have received output of the group.
     moved_at: Option<Timestamp>,
-    /// The member that did not answer first.
+    /// The first member that left a probe unanswered.
     silent_member: Option<HostId>,
-    /// Orders for the group that were refused in a row.
+    /// Number of consecutive refusals of orders for the group.
     refusals: u32,
 }
 
 impl GroupHealth {
-    /// A look at a member, or its new life, shows that the group lost it.
+    /// Marks the group as lost because a probe, or a restart of the engine, shows that this
+    /// member is gone.
     fn lose(&mut self, member: &HostId) {
         self.is_lost = true;
         self.stands_still = true;
         self.lost_member = Some(member.clone());
     }
 
-    /// Whether a router saw lately that nothing moves in the group.
+    /// Whether a router recently reported that the group is stalled.
     fn is_suspect(&self, now: Timestamp) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
 }
 
-/// The control of one failure domain, at one daemon.
+/// Controller of one failure domain, on one daemon.
 #[derive(Clone, Debug)]
 pub struct Controller {
     settings: ControlSettings,
@@ -149,62 +150,63 @@
     epoch: Option<Epoch>,
     stored: Option<Versioned<Assignment>>,
     pending: Option<Assignment>,
-    /// Where what is stored comes from.
+    /// Origin of the stored assignment.
     origin: Origin,
     in_flight: bool,
     observed: BTreeMap<HostId, EngineStatus>,
-    /// The last release that each engine took and carried out.
+    /// The last group that the engine of each host confirmed to have left.
     released: BTreeMap<HostId, GroupNumber>,
     health: BTreeMap<GroupNumber, GroupHealth>,
     unreachable: BTreeMap<HostId, Timestamp>,
-    /// Hosts that left an order or a probe unanswered, and when they are probed next.
+    /// Hosts that left an order or a probe unanswered, with the time of their next probe.
     doubted: BTreeMap<HostId, Timestamp>,
     own_reach: OwnReach,
-    /// Lines for the log of what was decided between two ticks.
+    /// Log lines for decisions made between two ticks.
     remarks: Vec<String>,
-    /// When each host last answered an order or a probe.
+    /// Time at which each host last answered an order or a probe.
     answered_at: BTreeMap<HostId, Timestamp>,
     next_call_at: BTreeMap<HostId, (CallPurpose, Timestamp)>,
     retiring_since: BTreeMap<GroupNumber, Timestamp>,
     forming_since: BTreeMap<GroupNumber, Timestamp>,
-    /// From the host list, for hosts that are in no group any more.
+    /// Addresses from the host list, also for hosts that are no longer in any group.
     addresses: BTreeMap<HostId, Address>,
-    /// Since when this daemon knows the assignment.
+    /// Time at which this daemon first read the assignment.
     stored_seen_at: Option<Timestamp>,
     listing: Listing,
     listed: BTreeMap<HostId, ListedHost>,
     listed_version: Version,
-    /// Known also while no lease is held, as an outage ends the lease.
+    /// Kept while no lease is held, because an outage of the platform ends the lease.
     list_outage: ListOutage,
-    /// When a host last appeared in the list.
+    /// Time at which a new host last appeared in the list.
     hosts_came_at: Option<Timestamp>,
-    /// Since when rank 0 of a dissolved group stands still, as a member left it.
+    /// Time since which rank 0 of a dissolved group cannot make progress, because a member left.
     standing_since: BTreeMap<GroupNumber, Timestamp>,
     plans: ServicePlans,
-    /// What the work that arrives needs; empty as long as too little of it is known.
+    /// Replicas that the arriving work keeps busy; empty while too little work was sampled.
     needs: Needs,
-    /// What was last logged of it.
+    /// The estimate that was last logged.
     logged_needs: Needs,
-    /// A member of a suspected group fell silent since routers were last asked what moves.
+    /// Whether a member of a suspected group became silent since routers were last asked which
+    /// groups produce output.
     asks_moving: bool,
     loads: LoadBudget,
-    /// Known also while no lease is held, as crashes are no matter of the assignment.
+    /// Kept while no lease is held, because crashes do not depend on the assignment.
     load_crashes: LoadCrashes,
-    /// The model of each host's last group, as far as this daemon saw it.
+    /// The model of the last group of each host, as far as this daemon observed it.
     last_model: BTreeMap<HostId, ModelName>,
-    /// Members that answer no more and were leaving: their groups take nothing new, but
-    /// finish what they have.
+    /// Unresponsive members that were leaving: their groups accept no new requests, but finish
+    /// the running ones.
     departed: BTreeSet<HostId>,
-    /// Free hosts that were told to hold a model's weights in memory.
+    /// Free hosts that were ordered to hold the weights of a model in memory.
     priming: BTreeMap<HostId, ModelName>,
-    /// Since when hosts are being released.
+    /// Time since which each host is being released.
     releasing_since: BTreeMap<HostId, Timestamp>,
-    /// Until when a host is not ordered again to stage weights.
+    /// Time before which each host is not ordered again to stage weights.
     staged_at: BTreeMap<HostId, (CallPurpose, Timestamp)>,
 }
 
 impl Controller {
-    /// A controller that holds no lease yet.
+    /// Creates a controller that holds no lease.
     pub fn new(settings: ControlSettings, domain: FailureDomain) -> Self {
         Self {
             settings,
@@ -247,12 +249,13 @@
         }
     }
 
-    /// The assignment as stored, if this daemon knows it.
+    /// The stored assignment, if this daemon has read it.
     pub fn stored(&self) -> Option<&Versioned<Assignment>> {
         self.stored.as_ref()
     }
 
-    /// What to do now. `epoch` is that of the lease, if it is held.
+    /// Computes the actions to take now. `epoch` is the epoch of the lease if this daemon holds
+    /// it; `operation` identifies the write that may result.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -282,7 +285,7 @@
         actions
     }
 
-    /// Groups that were found to stand still since the last time.
+    /// Notifications for groups that were found to be stalled since the last tick.
     fn tell_lost(&mut self) -> Vec<ControllerAction> {
         let untold = self
             .health
@@ -324,7 +327,7 @@
         actions
     }
 
-    /// The lease is not held: what was known may be out of date.
+    /// Discards all state that may be outdated because the lease is not held.
     fn resign(&mut self) {
         let list_outage = self.list_outage;
         let load_crashes = std::mem::take(&mut self.load_crashes);
@@ -333,10 +336,10 @@
         self.load_crashes = load_crashes;
     }
 
-    /// A read of the assignment was answered.
+    /// Handles a successful read of the assignment.
     pub fn on_read(&mut self, mut stored: Versioned<Assignment>, origin: Origin) {
         if origin == Origin::Copy {
-            // Numbers that were given out since the copy are not given out again.
+            // Group numbers that were assigned after the backup was taken must not be used again.
             stored.value.next_group.0 += NUMBERS_UNSEEN;
         }
         self.in_flight = false;
@@ -349,10 +352,11 @@
         self.stored = Some(stored);
     }
 
-    /// What is stored is not in the form of an assignment, as another writer overwrote it.
+    /// Handles a read of an assignment that cannot be decoded because another program overwrote
+    /// it.
     pub fn on_foreign(&mut self, version: Version) {
         if self.settings.assembly != Assembly::Orders {
-            // Only a list of engines that join by order shows the groups that stand.
+            // Only engines that join by order report their groups in the host list.
             self.on_unclear();
             return;
         }
@@ -360,7 +364,7 @@
         self.on_read(Versioned { version, value }, Origin::Foreign);
     }
 
-    /// A write took effect.
+    /// Handles a successful write. Returns the assignment that is now stored.
     pub fn on_written(&mut self, version: Version) -> Option<&Versioned<Assignment>> {
         self.in_flight = false;
         self.origin = Origin::Current;
@@ -369,17 +373,18 @@
         self.stored.as_ref()
     }
 
-    /// A call failed or was refused: read again, then compute anew.
+    /// Handles a read or write that failed or was rejected: the assignment is read again before
+    /// anything else is written.
     pub fn on_unclear(&mut self) {
         self.in_flight = false;
         self.pending = None;
         self.stored = None;
     }
 
-    /// The work that arrives at the fleet, as far as this daemon knows. As long as that is
-    /// little, replicas are counted against those that are wanted.
+    /// Takes in the work that arrives at the fleet, as far as this daemon knows. While too little
+    /// work was sampled, supply is measured against the wanted replicas.
     ///
-    /// Returns lines for the log where it differs much from what was last logged.
+    /// Returns log lines if the estimate differs significantly from the last logged one.
     pub fn note_work(&mut self, state: &FleetState, work: &FleetWork) -> Vec<String> {
         let fleet = state.fleet();
         let needs = fleet.and_then(|fleet| needs_of(&fleet.value.profiles, work));
@@ -394,8 +399,8 @@
             .collect()
     }
 
-    /// A router saw that a group is no longer complete: it is looked at now, and
-    /// often for a while.
+    /// Handles a report of a router that a group is stalled: the group is probed immediately, and
+    /// frequently for a while.
     pub fn suspect(&mut self, now: Timestamp, number: GroupNumber) {
         const FOR: Duration = Duration::from_secs(1);
         let group = self
@@ -417,14 +422,15 @@
         }
     }
 
-    /// A router had output of a group at this time or later: it was whole until then.
+    /// Records that a router received output of a group at this time, which shows that the group
+    /// was complete.
     pub fn note_moving(&mut self, at: Timestamp, number: GroupNumber) {
         if let Some(health) = self.health.get_mut(&number) {
             health.moved_at = health.moved_at.max(Some(at));
         }
     }
 
-    /// An engine answered an order.
+    /// Handles the answer of an engine to an order that was sent at `asked_at`.
     pub fn on_order_reply(
         &mut self,
         now: Timestamp,
@@ -445,7 +451,7 @@
         self.on_status(now, asked_at, reply.status);
     }
 
-    /// An engine told its status.
+    /// Handles the status that an engine returned to a probe sent at `asked_at`.
     pub fn on_status(&mut self, now: Timestamp, asked_at: Timestamp, status: EngineStatus) {
         if self.settings.assembly == Assembly::Orders {
             self.on_probed(now, &status);
@@ -456,7 +462,7 @@
         self.observed.insert(status.host.clone(), status);
     }
 
-    /// An engine left an order unanswered.
+    /// Handles an order, sent at `asked_at`, that was not answered.
     pub fn on_order_unanswered(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         if self.settings.assembly == Assembly::Orders {
             self.doubt(now, host);
@@ -465,7 +471,7 @@
         }
     }
 
-    /// An engine did not answer a probe.
+    /// Handles a probe, sent at `asked_at`, that was not answered.
     pub fn on_no_status(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         if self.settings.assembly == Assembly::Orders {
             self.on_silent(now, asked_at, host);
@@ -474,7 +480,8 @@
         self.on_no_report(now, asked_at, host);
     }
 
-    /// The next value of the assignment, if it should change, and why.
+    /// Computes the next value of the assignment, if it should change, and the log lines that
+    /// explain the change.
     fn next_value(
         &mut self,
         now: Timestamp,
@@ -494,7 +501,7 @@
             let adopted = self.taken_over(value, state);
             let (origin, count) = (self.origin, adopted.groups.len());
             log.push(format!(
-                "what is stored is {origin}, {count} groups stand and are taken over"
+                "stored assignment is {origin}, {count} running groups are adopted"
             ));
             return (Some(adopted), log);
         }
@@ -505,7 +512,7 @@
             return (changed.then_some(value), log);
         }
         self.next_reported(now, &mut value, state, &mut log);
-        // What the store lost is written again, under the epoch of its present era.
+        // Writes again what the store lost, under the epoch of its current era.
         let is_lost = self.origin == Origin::Copy;
         let changed = is_lost || value != stored.value;
         (changed.then_some(value), log)
@@ -529,13 +536,13 @@
             .retain(|number, _| value.groups.contains_key(number));
     }
 
-    /// Whether the host's engine took the release of this group. An older status
-    /// doesn't count: an order to load may have come after it.
+    /// Whether the host's engine confirmed that it left this group. An older status does not
+    /// count, because an order to load may have followed it.
     fn has_left(&self, host: &HostId, number: GroupNumber) -> bool {
         self.released.get(host) == Some(&number)
     }
 
-    /// Groups that retired are gone once all members left.
+    /// Removes retired groups that all members have left.
     fn drop_retired(&self, value: &mut Assignment, log: &mut Vec<String>) {
         let has_left = |host: &HostId, number: &GroupNumber| self.has_left(host, *number);
         let retired: Vec<GroupNumber> = value
--- a/shalehinge/src/core/controller/ordered.rs
+++ b/shalehinge/src/core/controller/ordered.rs
@@ -1,11 +1,10 @@
-//! Engines that join, open and leave by order, and tell the host list how far they are.
+//! Engines that join, open and leave groups by order, and report their progress in the host list.
 //!
-//! A group opens only once the list showed every member ready in it. What a host
-//! shows of a group is proof whenever it was shown, as a group's number is never used
-//! again. That a host does not show its group proves something only if the list is
-//! newer than this daemon's knowledge of the assignment. A host that the list lost may
-//! be cut off from the platform and serve all the same; but routers send nothing to a
-//! rank 0 that is not listed.
+//! A group opens only after the list has shown every member ready in it. A host entry that shows
+//! a group is always valid evidence, whatever its age, because group numbers are never reused. A
+//! host entry that does not show the group is evidence only if the list is newer than this
+//! daemon's knowledge of the assignment. A host that is missing from the list may be cut off from
+//! the platform and still serve, but routers send no requests to a rank 0 that is not listed.
 
 use std::time::Duration;
 
@@ -18,26 +17,26 @@
     Address, EngineStart, Epoch, GroupNumber, HostId, ModelName, Timestamp, Version,
 };
 
-/// Refusals of an order after which its group is given up.
+/// Number of consecutive refused orders after which the group is given up.
 const MOST_REFUSALS: u32 = 3;
-/// How long an engine that started again is not ordered to load. A second crash of the
-/// same model is told from the first by then, and a load takes longer.
+/// How long a restarted engine is not ordered to load. By then a second crash of the same model
+/// can be distinguished from the first, and a load takes longer anyway.
 const RELOAD_AFTER: Duration = Duration::from_secs(1);
-/// How long new groups that must load wait after a host came.
+/// How long the formation of groups that need loads waits after a new host appeared.
 const ARRIVAL_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What the list tells of the hosts of this failure domain, and how fresh that is.
+/// State of the host list for this failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Listing {
-    /// The time of which the list is true.
+    /// Time at which the list was current.
     pub as_of: Option<Timestamp>,
-    /// Whether loads are free, before the fleet's first request.
+    /// Whether loads are unlimited, which is the case before the first request of the fleet.
     pub loads_are_free: bool,
-    /// Failure domains that share the rate of loads.
+    /// Number of failure domains that share the rate of loads.
     pub domains: usize,
 }
 
-/// A host as it was last listed.
+/// The last listed state of a host.
 #[derive(Clone, Debug)]
 pub(super) struct ListedHost {
     pub(super) record: HostRecord,
@@ -45,15 +44,15 @@
 }
 
 impl ListedHost {
-    /// Models whose weights lie on the host.
+    /// Models whose weights are staged on the host.
     pub(super) fn staged(&self) -> &[ModelName] {
         &self.record.staged
     }
 }
 
 impl Controller {
-    /// Takes in the list; hosts that it no longer names are remembered for a while,
-    /// as long as the assignment names them.
+    /// Takes in a new host list. Hosts that are no longer listed are remembered as long as the
+    /// assignment uses them.
     pub(super) fn note_listed(&mut self, now: Timestamp, state: &FleetState) {
         let Some(hosts) = state.whole_hosts() else {
             return;
@@ -92,11 +91,11 @@
         }
     }
 
-    /// The engine of a host started again under the same name: it holds no group, and nothing
-    /// of what its earlier life was told or held in memory. A group that served with it is
-    /// lost, without waiting for an entry to lapse, as this one never does.
+    /// Handles a restart of the engine on a host: it is in no group and has lost its memory
+    /// contents and all orders. A serving group with this host is lost. This does not wait for
+    /// the host entry to expire, because the restarted engine keeps renewing it.
     fn note_restart(&mut self, now: Timestamp, host: &HostId) {
-        self.remarks.push(format!("{host} started again"));
+        self.remarks.push(format!("{host} restarted"));
         self.released.remove(host);
         self.last_model.remove(host);
         self.priming.remove(host);
@@ -117,7 +116,8 @@
         }
     }
 
-    /// An engine that was ordered to load the model of this group started again since.
+    /// Records a possible crash: the engine restarted after it was ordered to load the model of
+    /// this group.
     fn note_end_in_load(&mut self, now: Timestamp, host: &HostId, number: GroupNumber) {
         let stored = self.stored.as_ref();
         let Some(group) = stored.and_then(|stored| stored.value.groups.get(&number)) else {
@@ -131,7 +131,7 @@
             .insert(host.clone(), (purpose, now + RELOAD_AFTER));
         if let Some((crashes, wait)) = self.load_crashes.note_crash(now, &group.model) {
             self.remarks.push(format!(
-                "{host} ended while it was to load {}, {crashes} times in a row, the next load waits {} ms",
+                "{host} restarted during a load of {}, {crashes} consecutive crashes, next load in {} ms",
                 group.model,
                 wait.as_millis()
             ));
@@ -146,37 +146,38 @@
         self.listed.get(host).is_some_and(|host| host.is_listed)
     }
 
-    /// Whether the list is newer than what is known of the assignment.
+    /// Whether the list is at least as recent as this time.
     pub(super) fn is_list_newer(&self, than: Timestamp) -> bool {
         self.listing.as_of.is_some_and(|as_of| as_of >= than)
     }
 
-    /// Whether the list is newer than this daemon's first look at the assignment, so
-    /// that what it no longer shows is gone.
+    /// Whether the list is newer than this daemon's first read of the assignment. Then whatever
+    /// the list no longer shows is gone.
     pub fn trusts_absence(&self) -> bool {
         self.stored_seen_at
             .is_some_and(|seen_at| self.is_list_newer(seen_at))
     }
 
-    /// Whether a host that the list no longer names is gone.
+    /// Whether a host is gone for good, rather than missing from an outdated list or after an
+    /// outage.
     fn is_gone(&self, host: &HostId) -> bool {
         !self.is_listed(host) && self.trusts_absence() && !self.list_outage.may_return()
     }
 
-    /// A forming group serves once its rank 0 takes requests.
+    /// Promotes forming groups whose rank 0 takes requests to serving.
     pub(super) fn promote_open(&self, value: &mut Assignment, log: &mut Vec<String>) {
         for (number, group) in &mut value.groups {
             let rank_zero = group.members.first().map(|member| &member.host);
             let status = rank_zero.and_then(|host| self.status(host));
             let is_open = status.is_some_and(|status| status.shows_open(*number));
             if group.phase == GroupPhase::Forming && is_open {
-                log.push(format!("group {} is open and serves", number.0));
+                log.push(format!("group {} opened and serves", number.0));
                 group.phase = GroupPhase::Serving;
             }
         }
     }
 
-    /// Groups that lost a member, by what the list shows.
+    /// Marks groups as lost if the host list shows that they lost a member.
     pub(super) fn note_listed_losses(&mut self, now: Timestamp, value: &Assignment) {
         let trusts_absence = self.trusts_absence();
         let mut lost: Vec<(GroupNumber, HostId)> = Vec::new();
@@ -211,8 +212,8 @@
             .is_some_and(|since| now.since(*since) >= self.settings.forming_timeout)
     }
 
-    /// A member of a retiring group that will never take its release. Once rank 0 has
-    /// finished and left, the other hosts need not wait for it.
+    /// A member of a retiring group that will never confirm its release. Once rank 0 has finished
+    /// and left, the other hosts need not wait for it.
     fn gone_from_retiring(&self, number: GroupNumber, group: &Group) -> Option<HostId> {
         let rank_zero = &group.members.first()?.host;
         let is_finished = group.phase == GroupPhase::Retiring && self.has_left(rank_zero, number);
@@ -225,7 +226,7 @@
         remaining.find(|host| is_gone(host)).cloned()
     }
 
-    /// Whether the list shows that the host is no member any more.
+    /// Whether the list shows that the host is no longer a working member of the group.
     fn has_lost(
         &self,
         number: GroupNumber,
@@ -235,8 +236,8 @@
         trusts_absence: bool,
     ) -> bool {
         if !self.is_listed(host) {
-            // Routers send nothing to a rank 0 that is not listed, and a group that
-            // never served is not worth the wait.
+            // Routers send no requests to a rank 0 that is not listed, and a group that never
+            // served is not worth waiting for.
             let needs_it = phase == GroupPhase::Forming || is_head;
             return needs_it && self.is_gone(host);
         }
@@ -248,10 +249,10 @@
         is_broken || (phase == GroupPhase::Serving && is_away)
     }
 
-    /// Orders and looks that follow from the stored assignment.
+    /// Returns the orders and probes that are due for the stored assignment.
     pub(super) fn ordered_calls(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
         if self.listed_version == Version::NONE || self.adopts() {
-            // Nothing is known yet of how far each host is, or of which groups stand.
+            // The progress of the hosts, or the set of running groups, is not known yet.
             return Vec::new();
         }
         let Some(stored) = self.stored.take() else {
@@ -342,9 +343,9 @@
         }
     }
 
-    /// Asks all members of a group that routers found standing still. A member that
-    /// the list lost may be cut off from the platform alone: as long as the group
-    /// moves, nothing is done about it.
+    /// Probes all members of a group that routers reported as stalled. A member that is missing
+    /// from the list may only be cut off from the platform, so nothing is done while the group
+    /// makes progress.
     fn watch_over(
         &mut self,
         now: Timestamp,
@@ -381,7 +382,7 @@
         }
     }
 
-    /// Rank 0 finishes its requests first; only then do all leave.
+    /// Rank 0 finishes its requests first; only then are all members released.
     fn retire(
         &mut self,
         now: Timestamp,
@@ -412,7 +413,7 @@
         }
     }
 
-    /// Whether hosts came a moment ago: more may follow, so that a group need not load.
+    /// Whether new hosts appeared recently. More may follow, which may make a load unnecessary.
     pub(super) fn has_new_hosts(&self, now: Timestamp) -> bool {
         let is_early = self.listing.loads_are_free;
         !is_early
@@ -421,7 +422,7 @@
                 .is_some_and(|at| now.since(at) < ARRIVAL_WAIT)
     }
 
-    /// An engine answered an order.
+    /// Handles the answer of an engine to an order.
     pub(super) fn on_ordered(&mut self, now: Timestamp, host: &HostId, order: &Order, taken: bool) {
         self.note_answer(now, host);
         let is_load = matches!(order.command, Command::Load(_));
@@ -440,7 +441,7 @@
         if taken {
             health.incomplete_since = None;
             health.refusals = 0;
-            // Nothing is gained by asking again before the list shows what came of it.
+            // Repeating the order is useless before the list shows its result.
             let purpose = match order.command {
                 Command::Open => CallPurpose::Open(order.group),
                 _ => CallPurpose::Load(order.group),
@@ -455,7 +456,7 @@
         }
     }
 
-    /// A member was asked and answered.
+    /// Handles a probe that was answered.
     pub(super) fn on_probed(&mut self, now: Timestamp, status: &EngineStatus) {
         self.note_answer(now, &status.host);
         self.note_look(now, &status.host, true);
@@ -472,7 +473,7 @@
         let listed = self.listed.get(&status.host);
         let has_restarted =
             listed.is_some_and(|listed| EngineStart::differ(listed.record.started, status.started));
-        // A member that answers need not be asked again as soon as a silent one.
+        // A member that answers is probed less often than a silent one.
         let next = now + self.settings.order_interval;
         let purpose = CallPurpose::Probe(*number);
         self.next_call_at
@@ -488,8 +489,9 @@
         }
     }
 
-    /// A host did not answer a look. One look may be lost on the way, so a loss needs
-    /// two; one that ended long after its time shows that this daemon stood still.
+    /// Handles a probe, sent at `asked_at`, that was not answered. A single probe may be lost on
+    /// the network, so a loss requires two. A probe that ended long after its timeout shows that
+    /// this daemon was paused, and is ignored.
     pub(super) fn on_silent(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         if now.since(asked_at) >= self.settings.loss_confirm * 2 {
             return;
@@ -508,12 +510,14 @@
         let health = self.health.entry(*number).or_default();
         let is_suspect = health.is_suspect(now);
         if group.phase == GroupPhase::Serving && !is_suspect {
-            // It may be cut off from this daemon alone: requests show a loss at once, and
-            // none did. In replays of such a cut five of eleven dissolved groups served.
+            // The host may be unreachable for this daemon alone. A real loss stalls requests
+            // immediately, and no router reported that. In replays of such a cut, five of eleven
+            // dissolved groups were serving.
             return;
         }
         if health.moved_at > health.incomplete_since {
-            // Requests moved after a member was first found silent, so it is no loss.
+            // The group produced output after the member was first found silent, so the member is
+            // not lost.
             health.incomplete_since = None;
         }
         if health.incomplete_since.is_none() {
@@ -523,8 +527,8 @@
         health.silent_member.get_or_insert_with(|| host.clone());
         let is_second = asked_at > since;
         if is_second && now.since(since) >= self.settings.loss_confirm {
-            // Guards against a daemon that nobody answers: with its link full of a large
-            // configuration one dissolved nine groups that had lost no member.
+            // Guards against a daemon that gets no answers at all: while its link was saturated
+            // by a large configuration, one dissolved nine groups that had lost no member.
             if !self.own_reach.trusts_silence(asked_at) {
                 let line = self.own_reach.doubt_line();
                 self.remarks.extend(line);
@@ -533,7 +537,7 @@
             if !health.is_lost {
                 let counts = self.own_reach.all();
                 self.remarks.push(format!(
-                    "group {} lost {host}: silent for {} ms, {} of {} hosts asked lately answered",
+                    "group {} lost {host}: silent for {} ms, {} of {} recently probed hosts answered",
                     number.0,
                     now.since(since).as_millis(),
                     counts.answered,
--- a/shalehinge/src/core/controller/ordered_plan.rs
+++ b/shalehinge/src/core/controller/ordered_plan.rs
@@ -1,5 +1,5 @@
-//! What a holder wants next where engines join by order and replicas follow from the models'
-//! parts of the work.
+//! Computes the next assignment where engines join by order and replica counts follow from the
+//! models' work shares.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::core::placement::{PlacementContext, next_steps};
 use crate::core::types::{GroupNumber, HostId, ModelVersion, Timestamp};
 
-/// Replicas by model that stand and neither retire nor are lost.
+/// Number of replicas by model that are neither retiring nor lost.
 fn standing_replicas(
     value: &Assignment,
     lost: &BTreeMap<GroupNumber, Option<HostId>>,
@@ -26,7 +26,7 @@
 }
 
 impl Controller {
-    /// The next value where engines join by order and replicas follow from shares.
+    /// Updates `value` to the next assignment.
     pub(super) fn next_ordered(
         &mut self,
         now: Timestamp,
@@ -52,14 +52,15 @@
         log.extend(self.plans.refresh(state, input, &mut value.wanted));
         avoided.extend(self.shown_in_a_group(value).into_keys());
         let held = self.listed_weights();
-        // Survivors of a lost group are free in a moment, and soonest ready again.
+        // Survivors of a lost group are released soon, and are the fastest to be ready again.
         let awaits_survivors = self.awaits_survivors(now, value, &avoided);
         let max_forming = if awaits_survivors {
             0
         } else {
             self.settings.max_forming
         };
-        // Groups whose weights lie ready come first, whatever model lacks most.
+        // Form groups whose hosts already hold the weights first, regardless of which model has
+        // the largest shortage.
         let may_load = !self.has_new_hosts(now);
         let passes = [Some(0), may_load.then_some(usize::MAX)];
         for max_loads in passes.into_iter().flatten() {
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Weights that lie on the hosts, by the list, and those of their last groups.
+    /// Weights that each host holds: those staged according to the list, and those of its last
+    /// group.
     fn listed_weights(&self) -> HeldWeights {
         let version = ModelVersion::new(ONLY_VERSION);
         self.listed
@@ -102,7 +104,7 @@
             .collect()
     }
 
-    /// This failure domain's part of what the weight store can do.
+    /// Updates the load budget: this failure domain's part of the weight store's capacity.
     pub(super) fn note_load_rate(&mut self, state: &FleetState, domains: usize) {
         let fleet = state.fleet().map(|fleet| &fleet.value);
         let rate = fleet.and_then(|fleet| fleet.load_rate);
--- a/shalehinge/src/core/controller/own_reach.rs
+++ b/shalehinge/src/core/controller/own_reach.rs
@@ -1,11 +1,11 @@
-//! Whether the silence of a host says something of the host, or of this daemon.
+//! Whether a missing answer is evidence against the host, or against this daemon.
 //!
-//! A daemon whose own link is full or cut gets no answer in time from anybody, and would
-//! take all hosts for lost. So a silence counts only while others answer: with the first
-//! look at a suspected group some hosts of each fabric domain are asked too, and in one of
-//! these at least three in four must have answered lately. A fabric domain that goes dark
-//! leaves the others to answer; where none answers, dissolving groups would gain nothing, as
-//! no host could be ordered into new ones.
+//! A daemon whose own link is saturated or cut gets no timely answer from any host, and would
+//! consider all hosts lost. A missing answer therefore counts only while other hosts answer:
+//! together with the first probe of a suspected group, some hosts of each fabric domain are
+//! probed as well, and in at least one fabric domain three of four recently probed hosts must
+//! have answered. If a whole fabric domain fails, the others still answer; if none answers,
+//! dissolving groups would gain nothing, because no host could be ordered into new ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use super::Controller;
 use crate::core::types::{FabricDomain, HostId, Timestamp};
 
-/// How long a look counts. Two looks at a silent host, which prove its loss, take
+/// How long a probe result is considered. Two probes of a silent host, which prove its loss, take
 /// 300 to 500 ms.
 const COUNTS_FOR: Duration = Duration::from_millis(600);
-/// Hosts of a fabric domain that are asked beside suspected groups. One in four may
-/// be lost without a doubt of the others.
+/// Number of additional hosts that are probed in each fabric domain. One in four may be lost
+/// without casting doubt on the others.
 const ASKED_BESIDE: usize = 4;
 
-/// How the last look at a host ended.
+/// Result of the last probe of a host.
 #[derive(Clone, Debug)]
 struct Look {
     fabric_domain: FabricDomain,
@@ -28,7 +28,7 @@
     is_answered: bool,
 }
 
-/// How many hosts of a fabric domain were looked at lately.
+/// Number of recently probed hosts, and how many of them answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct LookCounts {
     pub(super) answered: usize,
@@ -36,24 +36,24 @@
 }
 
 impl LookCounts {
-    /// Whether at least three in four answered.
+    /// Whether at least three in four hosts answered.
     fn is_sound(self) -> bool {
         self.answered * 4 >= self.asked * 3
     }
 }
 
-/// The last looks of this daemon at hosts of its failure domain.
+/// The last probes that this daemon sent to hosts of its failure domain.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnReach {
     looks: BTreeMap<HostId, Look>,
-    /// Since when the looks that count show that this daemon reaches hosts.
+    /// Time since which recent probes show that this daemon reaches hosts.
     sound_since: Option<Timestamp>,
-    /// A silence was not believed since they last did.
+    /// Whether a missing answer was already reported as not trusted since then.
     is_doubt_told: bool,
 }
 
 impl OwnReach {
-    /// A look at a host ended.
+    /// Records the result of a probe.
     fn note(&mut self, now: Timestamp, host: HostId, fabric_domain: FabricDomain, answered: bool) {
         let look = Look {
             fabric_domain,
@@ -82,7 +82,7 @@
         counts
     }
 
-    /// Looks that count, over all fabric domains.
+    /// Recent probes of all fabric domains.
     pub(super) fn all(&self) -> LookCounts {
         let mut all = LookCounts::default();
         for counts in self.counts().into_values() {
@@ -92,18 +92,19 @@
         all
     }
 
-    /// Whether a look that was begun then and went unanswered says something of the host.
+    /// Whether a probe that was sent at this time and not answered is evidence against the host.
     pub(super) fn trusts_silence(&self, asked_at: Timestamp) -> bool {
         self.sound_since.is_some_and(|since| asked_at >= since)
     }
 
-    /// What to log where a silence is not believed: once, until hosts answer again.
+    /// Log line for a missing answer that is not trusted. Returned once, until hosts answer
+    /// again.
     pub(super) fn doubt_line(&mut self) -> Option<String> {
         let is_told = std::mem::replace(&mut self.is_doubt_told, true);
         let LookCounts { answered, asked } = self.all();
         (!is_told).then(|| {
             format!(
-                "no group is lost by silence: {answered} of {asked} hosts asked lately answered"
+                "no group is lost by silence: {answered} of {asked} recently probed hosts answered"
             )
         })
     }
@@ -115,7 +116,7 @@
 }
 
 impl Controller {
-    /// A look at a host ended.
+    /// Records the result of a probe.
     pub(super) fn note_look(&mut self, now: Timestamp, host: &HostId, answered: bool) {
         if let Some(listed) = self.listed.get(host) {
             let fabric_domain = listed.record.fabric_domain.clone();
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Asks some hosts of each fabric domain beside those of suspected groups.
+    /// Probes some hosts of each fabric domain in addition to those of suspected groups.
     pub(super) fn ask_beside(&mut self, now: Timestamp) {
         let mut asked: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
         let mut hosts = Vec::new();
--- a/shalehinge/src/core/controller/reachability.rs
+++ b/shalehinge/src/core/controller/reachability.rs
@@ -1,10 +1,10 @@
-//! Which hosts this daemon reaches, as far as it was shown.
+//! Hosts that this daemon can reach, as far as it knows.
 //!
-//! The host list tells that a host lives and reaches the platform, not that this daemon
-//! reaches the host. A host that left a status probe unanswered stays out of new groups
-//! until it answers one. Where hosts fell silent although the list still shows them, they
-//! may have been cut off together with others: then a free host must answer a probe
-//! before it joins a new group, as a group with one member out of reach never opens.
+//! The host list shows that a host is alive and reaches the platform, but not that this daemon
+//! reaches the host. A host that left a status probe unanswered is excluded from new groups until
+//! it answers one. If hosts became silent although they are still listed, others may have been
+//! cut off together with them. Free hosts must then answer a probe before they join a new group,
+//! because a group with an unreachable member never opens.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 use crate::core::objects::{Assignment, HostState, Member};
 use crate::core::types::{GroupNumber, HostId, Timestamp};
 
-/// Time between two probes of a host that left an order unanswered, or is a member of a
-/// suspected group. Two probes are the proof of a loss, and a group waits for it.
+/// Interval between probes of a host that left an order unanswered or is a member of a suspected
+/// group. Two probes prove a loss, and the group waits for this proof.
 pub(super) const DOUBT_SPACING: Duration = Duration::from_millis(100);
-/// Time between two probes of a host that is known to be silent. A cut that ends
-/// is noticed within half a second, for a few probes a second.
+/// Interval between probes of a host that is known to be silent. The end of a cut is noticed
+/// within half a second, at the cost of a few probes per second.
 const SILENT_SPACING: Duration = Duration::from_millis(500);
 
 impl Controller {
-    /// A host left an order unanswered. The order may be carried out late, which the
-    /// numbers of groups make harmless, and is given again; only a host that answers no
-    /// probe either is out of reach.
+    /// Schedules a probe of a host that left an order unanswered. The order is repeated and may
+    /// be carried out late, which group numbers make harmless. Only a host that does not answer
+    /// probes either is unreachable.
     pub(super) fn doubt(&mut self, now: Timestamp, host: &HostId) {
         self.doubted.entry(host.clone()).or_insert(now);
     }
 
-    /// A host left a probe unanswered.
+    /// Records that a host left a probe unanswered.
     pub(super) fn note_silence(&mut self, now: Timestamp, host: &HostId) {
         self.unreachable.entry(host.clone()).or_insert(now);
         let mut groups = self.stored.iter().flat_map(|s| s.value.groups.values());
@@ -41,15 +41,15 @@
         self.doubted.insert(host.clone(), now + spacing);
     }
 
-    /// A host answered an order or a probe.
+    /// Records that a host answered an order or a probe.
     pub(super) fn note_answer(&mut self, now: Timestamp, host: &HostId) {
         self.unreachable.remove(host);
         self.doubted.remove(host);
         self.answered_at.insert(host.clone(), now);
     }
 
-    /// Hosts that new groups must not use: silent ones, and free ones that have not
-    /// answered since others fell silent. The latter are asked.
+    /// Hosts that new groups must not use: silent hosts, and free hosts that have not answered
+    /// since others became silent. Probes of the latter are scheduled.
     pub(super) fn out_of_reach(&mut self, now: Timestamp, value: &Assignment) -> BTreeSet<HostId> {
         let listed = &self.listed;
         self.unreachable.retain(|host, _| listed.contains_key(host));
@@ -73,20 +73,20 @@
         hosts
     }
 
-    /// Since when a host is silent that the list shows alive.
+    /// Time since which any host that the list shows alive is silent.
     fn silent_since(&self) -> Option<Timestamp> {
         let silent = self.unreachable.iter();
         let listed = silent.filter(|(host, _)| self.is_live(host));
         listed.map(|(_, since)| *since).min()
     }
 
-    /// Whether the list shows the host alive and not leaving.
+    /// Whether the list shows the host as live, and not as leaving.
     pub(super) fn is_live(&self, host: &HostId) -> bool {
         let listed = self.listed.get(host);
         listed.is_some_and(|host| host.is_listed && host.record.state == HostState::Live)
     }
 
-    /// Probes the hosts that left something unanswered.
+    /// Sends the due probes of hosts that left an order or a probe unanswered.
     pub(super) fn ask_doubted(&mut self, now: Timestamp, actions: &mut Vec<ControllerAction>) {
         let listed = &self.listed;
         self.doubted.retain(|host, _| listed.contains_key(host));
--- a/shalehinge/src/core/controller/reported.rs
+++ b/shalehinge/src/core/controller/reported.rs
@@ -1,4 +1,4 @@
-//! Engines that report how far they are: rank 0 tells that its group is complete.
+//! Engines that report their progress: rank 0 reports when its group is complete.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use crate::core::types::{GroupNumber, HostId, Timestamp};
 
 impl Controller {
-    /// The next value where engines report and replicas follow from intents.
+    /// Updates `value` to the next assignment, where replica counts follow from the intents.
     pub(super) fn next_reported(
         &mut self,
         now: Timestamp,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What a report of rank 0 says of its group.
+    /// Updates the health of a group from the status of its rank 0.
     pub(super) fn judge_rank_zero(
         &mut self,
         now: Timestamp,
@@ -75,7 +75,7 @@
             return;
         }
         if status.shows_released(*number) {
-            // Its engine started anew: what it held is gone.
+            // The engine restarted, so its weights and requests are gone.
             health.is_lost = true;
             health.lost_member = Some(status.host.clone());
             return;
@@ -84,7 +84,7 @@
         health.is_lost |= now.since(since) >= self.settings.loss_confirm;
     }
 
-    /// An engine that reports did not answer.
+    /// Handles a probe, sent at `asked_at`, that was not answered.
     pub(super) fn on_no_report(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         self.unreachable.insert(host.clone(), now);
         let Some(stored) = &self.stored else {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Hosts whose engines show that they left are free again.
+    /// Frees hosts whose engines confirm that they left their group.
     fn take_acknowledgements(
         &self,
         value: &mut Assignment,
@@ -124,7 +124,7 @@
         self.drop_retired(value, log);
     }
 
-    /// A forming group serves once rank 0 sees all members.
+    /// Promotes forming groups whose rank 0 reports all members present to serving.
     fn promote_ready(&self, value: &mut Assignment, log: &mut Vec<String>) {
         for (number, group) in &mut value.groups {
             if group.phase != GroupPhase::Forming {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Losses that no engine reports: hosts gone from the list, forming without end.
+    /// Marks groups as lost for reasons that no engine reports: a member is no longer listed, or
+    /// the group did not form in time.
     fn note_losses(&mut self, now: Timestamp, value: &Assignment, state: &FleetState) {
         let Some(hosts) = state.hosts() else {
             return;
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -1,9 +1,9 @@
-//! What one model service wants of a failure domain, as the planner reads it.
+//! Replica counts of one model service in a failure domain, as input of the planner.
 //!
-//! Models with a profile have no replicas written in the configuration; they follow
-//! from their parts of the work and from the hosts that are listed, in this failure domain
-//! and, where it is too small for each model, in the others. Each service has hosts of
-//! its own, so each is planned apart.
+//! The configuration contains no replica counts for models with a profile. The counts follow from
+//! the models' work shares and the listed hosts of this failure domain and, if it is too small
+//! for every model, of the other failure domains. Services do not share hosts, so each is planned
+//! separately.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,36 +22,36 @@
     ModelVersion, ServiceName, Version,
 };
 
-/// The version of models whose configuration names none.
+/// Version of models for which the configuration specifies none.
 pub(super) const ONLY_VERSION: &str = "current";
 
-/// One service with its models and hosts.
+/// A service with its models and hosts.
 #[derive(Clone, Debug)]
 pub(super) struct ServicePlan {
     service: ServiceName,
-    /// Models of the service, with replicas for this failure domain.
+    /// Models of the service, with replica counts for this failure domain.
     pub(super) fleet: FleetConfig,
-    /// Hosts of the service.
+    /// Hosts of the service in this failure domain.
     pub(super) hosts: HostList,
 }
 
-/// What the plans of a failure domain are made from.
+/// Inputs of the plans of a failure domain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlanInput<'a> {
-    /// The failure domain.
+    /// Failure domain that is planned.
     pub(super) domain: &'a FailureDomain,
-    /// Part of the hosts that stays free once each model has its part.
+    /// Fraction of the hosts, 0 to 1, that stays free once each model has its share.
     pub(super) spare_share: f64,
-    /// Hosts of this failure domain that can't be used, though listed.
+    /// Hosts of this failure domain that are listed but cannot be used.
     pub(super) unreachable: &'a BTreeSet<HostId>,
-    /// Replicas of this failure domain that stand and don't retire.
+    /// Replicas of this failure domain that are neither retiring nor lost, by model.
     pub(super) standing: &'a ReplicaCounts,
-    /// Whether entries that the list lost may come back: what the list shows of other
-    /// failure domains is then no reason to change what this one serves.
+    /// Whether expired entries may reappear in the list. In that case the listed state of other
+    /// failure domains is no reason to change the replicas of this one.
     pub(super) entries_may_return: bool,
 }
 
-/// The plans of all services, made anew when what they follow from changes.
+/// Plans of all services, recomputed when their inputs change.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePlans {
     made_from: (FleetVersion, Version),
@@ -63,7 +63,7 @@
 }
 
 impl ServicePlans {
-    /// Brings the plans up to date; returns lines for the log where they changed.
+    /// Updates the plans. Returns log lines if they changed.
     pub(super) fn refresh(
         &mut self,
         state: &FleetState,
@@ -98,7 +98,8 @@
         lines
     }
 
-    /// Divides the models of each service over the failure domains.
+    /// Distributes the models of each service over the failure domains. Returns log lines if the
+    /// set of models without room changed.
     fn divide(
         &mut self,
         fleet: &FleetConfig,
@@ -129,7 +130,7 @@
         self.without_room = without_room;
         let lacking = self.without_room.iter();
         lacking
-            .map(|model| format!("no failure domain has the hosts for a replica of {model}"))
+            .map(|model| format!("no failure domain has enough hosts for a replica of {model}"))
             .collect()
     }
 
@@ -137,7 +138,7 @@
         self.plans.iter()
     }
 
-    /// Models with their service and the hosts of one replica.
+    /// Models with their service and the number of hosts per replica.
     pub(super) fn model_sizes(&self) -> Vec<(ModelName, ServiceName, u32)> {
         let models = self.plans.iter().flat_map(|plan| {
             let service = &plan.service;
@@ -148,8 +149,8 @@
         models.collect()
     }
 
-    /// The assignment as one plan sees it. Groups of models that no plan knows fall to
-    /// the first, which retires them.
+    /// The part of the assignment that belongs to one plan. Groups of models without a plan
+    /// belong to the first plan, which retires them.
     pub(super) fn part_of(&self, index: usize, whole: &Assignment) -> Assignment {
         let knows = |plan: &ServicePlan, model: &ModelName| plan.fleet.models.contains_key(model);
         let mut part = whole.clone();
@@ -173,8 +174,7 @@
         .collect()
 }
 
-/// The live hosts of a service in each failure domain, and the replicas that the list
-/// shows there.
+/// Live hosts of a service in each failure domain, and the replicas that the list shows there.
 fn hosts_by_domain(
     hosts: &HostList,
     service: &ServiceName,
@@ -207,9 +207,10 @@
         .collect()
 }
 
-/// What the failure domain should have of each model, as far as its usable hosts allow. A
-/// count once wanted stays wanted, so that a lost host does not lower it for good; only
-/// where the domain can't hold each model, the fleet's division decides anew each time.
+/// Wanted replicas of each model in the failure domain, as far as its usable hosts allow. A count
+/// that was wanted once stays wanted, so that a lost host does not lower it permanently. Only if
+/// the failure domain cannot hold every model is the count taken from the distribution over the
+/// fleet each time.
 fn counts_of(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     share: &DomainShare,
@@ -220,7 +221,7 @@
     if share.is_narrow {
         wanted.extend(share.counts.clone());
         let counts = replicas_that_fit(profiles, sizes, share.counts.clone());
-        // Hosts of a replica that finds no room here after all serve what they can.
+        // Hosts of a replica that does not fit here after all are used for other models.
         return fill(profiles, sizes, usable_hosts(sizes, spare_share), counts);
     }
     let mut counts = replicas_by_share(profiles, sizes, spare_share);
--- a/shalehinge/src/core/controller/staging.rs
+++ b/shalehinge/src/core/controller/staging.rs
@@ -1,9 +1,9 @@
-//! Weights at hand on every host, so that groups can be formed anew without loads.
+//! Staging of weights on every host, so that groups can be formed again without loads.
 //!
-//! A host joins a group of its last model at once, and one whose weights lie on it
-//! soon. So each host is to have one model as its last, and the weights of another.
-//! A free host that was in no group yet is primed: it joins a group alone, which never
-//! opens, and leaves it.
+//! A host joins a group of its last model immediately, and a group of a model whose weights are
+//! staged on it after a short time. Each host should therefore have one model as its last, and
+//! the weights of another model staged. A free host that was in no group yet is primed: it joins
+//! a group on its own, which never opens, and leaves it again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,25 +15,26 @@
 
 use super::service_plan::ONLY_VERSION;
 
-/// Time between two orders to stage weights on the same host.
+/// Minimum interval between two orders to stage weights on the same host.
 const STAGE_INTERVAL: Duration = Duration::from_secs(20);
 
-/// Weights that should lie on a host; the most useful sorts first.
+/// Weights that should be staged on a host. The most useful request sorts first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StageWish {
-    /// Members of the host's group; 0 for a free host.
+    /// Number of members of the host's group; 0 for a free host.
     group_size: usize,
     host: HostId,
     model: ModelName,
 }
 
 impl Controller {
-    /// Whether the host has the model's weights, or may load them now to join a group.
+    /// Whether the host has the weights of the model, or may load them now to join a group. Takes
+    /// a load from the budget in the latter case.
     pub(super) fn may_load(&mut self, now: Timestamp, host: &HostId, model: &ModelName) -> bool {
         self.needs_no_load(host, model) || self.loads.take(now)
     }
 
-    /// Whether the host has the model's weights, or loads cost nothing yet.
+    /// Whether the host has the weights of the model, or loads are unlimited.
     fn needs_no_load(&self, host: &HostId, model: &ModelName) -> bool {
         let listed = self.listed.get(host);
         let is_staged = listed.is_some_and(|listed| listed.record.staged.contains(model));
@@ -41,7 +42,7 @@
         is_staged || is_last || self.listing.loads_are_free
     }
 
-    /// Hosts that hold their model by now.
+    /// Records the model of each host whose priming is complete.
     pub(super) fn note_primed(&mut self) {
         let primed: Vec<HostId> = self
             .priming
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether the host is ready in its group for priming.
+    /// Whether the host is ready in its priming group.
     pub(super) fn is_primed(&self, host: &HostId) -> bool {
         let status = self
             .listed
@@ -65,7 +66,8 @@
         status.is_some_and(|status| status.shows_ready(GroupNumber::PRIMING))
     }
 
-    /// A host that refuses was in a group before: which model that had is not known.
+    /// Handles the answer to a priming order. A host that refuses was in a group before. The
+    /// model of that group is not known, so the ordered one is recorded as its last.
     pub(super) fn on_prime_answered(&mut self, host: &HostId, taken: bool) {
         if taken {
             return;
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Free hosts that were in no group yet and have weights join one alone.
+    /// Orders free hosts that were in no group yet, and have staged weights, to join a group on
+    /// their own.
     pub(super) fn prime_hosts(
         &mut self,
         now: Timestamp,
@@ -126,8 +129,8 @@
         }
     }
 
-    /// Each host gets the weights of another model than its last: free hosts first,
-    /// then members of the small groups, which are preempted for large ones.
+    /// Stages on each host the weights of another model than its last: on free hosts first, then
+    /// on members of small groups, which are preempted for large ones.
     pub(super) fn stage_weights(
         &mut self,
         now: Timestamp,
@@ -137,7 +140,8 @@
     ) {
         let forms = |group: &Group| group.phase == GroupPhase::Forming;
         if self.listing.loads_are_free && value.groups.values().any(forms) {
-            // Until the first request groups come before second weights.
+            // Before the first request, forming groups take precedence over the weights of second
+            // models.
             return;
         }
         let mut wanted = self.wanted_weights(value);
@@ -163,8 +167,8 @@
         }
     }
 
-    /// Which model each member of a group holds. While it joins that is not known,
-    /// unless it was the same before.
+    /// Records the model that each member of a group holds. While a member joins, its model is
+    /// unknown unless it was the same before.
     pub(super) fn note_models(&mut self, value: &Assignment) {
         for (number, group) in &value.groups {
             for Member { host, .. } in &group.members {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// What a successor could not learn from the host list: the last models of hosts
-    /// that are in no group.
+    /// Last models of hosts that are in no group. They are stored for the next lease holder,
+    /// which cannot learn them from the host list.
     pub(super) fn held_by_free(&self, value: &Assignment) -> BTreeMap<HostId, ModelName> {
         let used = value.used_hosts();
         let free = self
