--- a/shalehinge/tests/adoption.rs
+++ b/shalehinge/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Groups that stand, where another program overwrote the assignment of their failure domain.
+//! Tests of running groups whose assignment is overwritten by another program.
 
 mod ordered_support;
 
@@ -10,7 +10,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Another program overwrites the assignment, and the lease passes on.
+/// Overwrites the assignment as another program would, and hands the lease over.
 fn lose_assignment(domain: &mut Domain) {
     domain.is_foreign = true;
     domain.stored.version.number += 1;
@@ -23,7 +23,7 @@
     let before = domain.stored.value.groups.clone();
     lose_assignment(&mut domain);
     domain.run_for(seconds(10));
-    assert!(!domain.is_foreign, "it was written anew");
+    assert!(!domain.is_foreign, "the assignment was rewritten");
     let after = &domain.stored.value.groups;
     assert_eq!(
         after.keys().collect::<Vec<_>>(),
@@ -42,7 +42,7 @@
     domain.engine(&members[1]).is_listed = false;
     domain.engine(&members[1]).is_reachable = false;
     lose_assignment(&mut domain);
-    domain.run_until("formed anew", |domain| {
+    domain.run_until("group formed again", |domain| {
         !domain.is_foreign && domain.open_groups(LARGE) == 2
     });
 }
--- a/shalehinge/tests/crashing_models.rs
+++ b/shalehinge/tests/crashing_models.rs
@@ -1,11 +1,11 @@
-//! A model whose load ends each engine that tries it.
+//! Tests of a model whose loading crashes every engine that tries it.
 //!
-//! What happens: the engine starts again under its name, and the holder of control orders it to
-//! load the model again, four times a second, for as long as the group may take to form, and
-//! then other hosts. Each order takes a part of the rate at which weights may be loaded. Why:
-//! nothing remembers that the load ended the engine; a member that the list shows in no group
-//! is ordered to join. What showed it: 1,086 ends of four engines in five minutes with one group
-//! to form anew, and 95,744 ends of 16 engines where all are to form and loads are free.
+//! Guards against endless retries: the engine restarts, and the lease holder orders it to load
+//! the model again, four times per second until the group times out, and then orders other hosts.
+//! Each order uses part of the load rate. It came about because nothing recorded that the load
+//! crashed the engine, and a member that the list shows in no group is ordered to join. Measured:
+//! 1,086 crashes of four engines in five minutes while one group formed again, and 95,744 crashes
+//! of 16 engines while all groups formed and loads were unlimited.
 
 mod ordered_support;
 
@@ -15,12 +15,12 @@
 use ordered_support::{Domain, LARGE, SMALL};
 use shalehinge::core::types::{HostId, ModelName};
 
-/// Ends of one engine in five minutes. The aim: three crashes name the model, and from then on
-/// trials wait 10 s, 20 s, 40 s and so on, five of them in that time.
+/// Maximum number of crashes of one engine in five minutes: three crashes identify the model, and
+/// from then on attempts wait 10 s, 20 s, 40 s and so on, which allows five of them.
 const MOST_ENDS: usize = 3 + 5;
 const FIVE_MINUTES: Duration = Duration::from_secs(300);
 
-/// How often each engine ended.
+/// Number of crashes of each engine.
 fn ends(domain: &Domain) -> BTreeMap<HostId, usize> {
     let mut ends = BTreeMap::new();
     for (_, host) in &domain.ended {
@@ -33,7 +33,8 @@
     ends(domain).into_values().max().unwrap_or(0)
 }
 
-/// From now on whoever loads the large model ends, and one group of it must form anew.
+/// Returns a domain in which loading the large model crashes the engine, and one group of it must
+/// be formed again.
 fn crashes_as_one_group_forms() -> Domain {
     let mut domain = Domain::serving(&[8, 8, 8]);
     domain.crashing_model = Some(ModelName::new(LARGE));
@@ -55,9 +56,10 @@
     let mut domain = crashes_as_one_group_forms();
     let (_, members) = domain.group_of(LARGE);
     domain.run_for(FIVE_MINUTES);
-    // Twice all of a group may end, as one crash names no model.
+    // All engines of the group may crash twice, because a single crash does not identify the
+    // model.
     let most = 2 * members.len() + (MOST_ENDS - 2);
-    assert!(domain.ended.len() <= most, "{} ends", domain.ended.len());
+    assert!(domain.ended.len() <= most, "{} crashes", domain.ended.len());
 }
 
 #[test]
@@ -77,7 +79,7 @@
     assert_eq!(domain.open_groups(SMALL), small);
     assert!(
         domain.open_groups(LARGE) >= large - 1,
-        "those that serve stay"
+        "serving groups are kept"
     );
 }
 
@@ -87,8 +89,10 @@
     let wanted = 4;
     domain.run_for(Duration::from_secs(20));
     domain.crashing_model = None;
-    let took = domain.run_until("served again", |domain| domain.open_groups(LARGE) == wanted);
-    // The longest wait before a trial that can run by then, and two loads one after the other.
+    let took = domain.run_until("model served again", |domain| {
+        domain.open_groups(LARGE) == wanted
+    });
+    // The longest wait before the next attempt within this time, and two consecutive loads.
     assert!(took < Duration::from_secs(20 + 2 * 16), "{took:?}");
 }
 
@@ -98,7 +102,7 @@
     let wanted = domain.open_groups(LARGE);
     let (number, members) = domain.group_of(LARGE);
     domain.restart(&members[0], 5);
-    domain.run_until("forms anew", |domain| {
+    domain.run_until("group forms again", |domain| {
         !domain.stored.value.groups.contains_key(&number)
             && domain.open_groups(LARGE) == wanted - 1
             && domain.stored.value.groups.len() >= 8
@@ -107,7 +111,9 @@
     for (life, member) in members.iter().enumerate() {
         domain.restart(member, 100 + life as u64);
     }
-    let took = domain.run_until("open again", |domain| domain.open_groups(LARGE) == wanted);
-    // A load of an empty engine takes 15 s.
+    let took = domain.run_until("group opened again", |domain| {
+        domain.open_groups(LARGE) == wanted
+    });
+    // Loading takes 15 s on an engine without weights.
     assert!(took < Duration::from_secs(17), "{took:?}");
 }
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -1,5 +1,6 @@
-//! Groups of engines that join and open by order. The engines' oracle panics when a
-//! group opens without a member, or a host joins while its group takes requests.
+//! Tests of groups whose engines join and open by order. The simulated engines panic when a group
+//! opens without all its members, or when a host joins a group while its previous group takes
+//! requests.
 
 mod ordered_support;
 
@@ -39,7 +40,7 @@
     let domain = Domain::serving(&[9]);
     let used = domain.stored.value.used_hosts();
     let mut free = domain.engines.iter().filter(|(id, _)| !used.contains(id));
-    let (_, spare) = free.next().expect("one host is left over");
+    let (_, spare) = free.next().expect("one host is free");
     assert_eq!(spare.group, None);
     let mut models: Vec<&str> = spare.staged.iter().map(|model| model.as_str()).collect();
     models.extend(spare.model.as_ref().map(|model| model.as_str()));
@@ -47,17 +48,18 @@
     assert_eq!(models, [LARGE, SMALL]);
 }
 
-/// A group of the model loses a member and is formed again; nothing is loaded for it.
+/// Fails a member of a group of the model and waits until the group is formed again, which must
+/// not require a load.
 fn loses_a_member_without_a_load(domain: &mut Domain, model: &str) {
     let wanted = domain.open_groups(model);
     let (number, members) = domain.group_of(model);
     domain.go_dark(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    domain.run_until("formed again", |domain| {
+    domain.run_until("group formed again", |domain| {
         !domain.stored.value.groups.contains_key(&number) && domain.open_groups(model) == wanted
     });
-    assert!(domain.loads.is_empty(), "{model} had to be loaded");
+    assert!(domain.loads.is_empty(), "weights of {model} were loaded");
 }
 
 #[test]
@@ -76,7 +78,7 @@
     domain.go_dark(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    let took = domain.run_until("formed again", |domain| {
+    let took = domain.run_until("group formed again", |domain| {
         domain.open_groups(LARGE) == 1 && { !domain.stored.value.groups.contains_key(&number) }
     });
     assert!(took < seconds(10), "{took:?}");
@@ -89,15 +91,18 @@
     domain.go_dark(&members[2]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    domain.run_until("dissolved", |domain| {
+    domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
-    assert_eq!(domain.told_lost, [number], "routers need not find it out");
+    assert_eq!(domain.told_lost, [number], "routers are notified");
     domain.engine(&members[2]).is_listed = false;
-    domain.run_until("a small group gave way", |domain| {
+    domain.run_until("a small group is preempted", |domain| {
         domain.open_groups(LARGE) == 1
     });
-    assert!(domain.loads.is_empty(), "hosts with the weights were there");
+    assert!(
+        domain.loads.is_empty(),
+        "hosts with the weights were available"
+    );
 }
 
 #[test]
@@ -129,7 +134,11 @@
     domain.engine(&members[0]).is_listed = false;
     domain.run_for(seconds(1));
     assert!(!domain.stored.value.groups.contains_key(&number));
-    assert_eq!(domain.told_lost, [], "it may still finish its requests");
+    assert_eq!(
+        domain.told_lost,
+        [],
+        "it may still finish its requests, so routers are not notified"
+    );
 }
 
 #[test]
@@ -152,7 +161,7 @@
     domain.change_holder();
     domain.run_for(seconds(10));
     assert_eq!(domain.stored.value.groups, before);
-    assert_eq!(domain.orders, orders, "nothing had to be ordered");
+    assert_eq!(domain.orders, orders, "no orders are sent");
 }
 
 #[test]
@@ -162,15 +171,18 @@
     domain.go_dark(&members[0]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    domain.run_until("dissolved", |domain| {
+    domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
     domain.run_for(seconds(4));
     let value = &domain.stored.value;
-    assert!(value.releasing.contains_key(&members[1]), "still held back");
+    assert!(
+        value.releasing.contains_key(&members[1]),
+        "not reusable yet"
+    );
     domain.run_for(seconds(3));
     let value = &domain.stored.value;
-    assert!(!value.releasing.contains_key(&members[1]), "free by now");
+    assert!(!value.releasing.contains_key(&members[1]), "reusable");
 }
 
 #[test]
@@ -191,10 +203,10 @@
     domain.loses_answers = true;
     domain.run_for(seconds(6));
     domain.loses_answers = false;
-    domain.run_until("all serve", |domain| {
+    domain.run_until("all groups serve", |domain| {
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
-    assert_eq!(domain.told_lost, [], "the hosts answered when asked");
+    assert_eq!(domain.told_lost, [], "the hosts answered their probes");
 }
 
 #[test]
@@ -202,7 +214,7 @@
     let mut domain = Domain::new(&[9]);
     let dark = host(0);
     domain.go_dark(&dark);
-    domain.run_until("all serve without it", |domain| {
+    domain.run_until("all groups serve without it", |domain| {
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
     assert!(!domain.stored.value.uses(&dark) || domain.stored.value.releasing.contains_key(&dark));
@@ -216,11 +228,11 @@
     domain.go_dark(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    domain.run_until("retired", |domain| {
+    domain.run_until("group retired", |domain| {
         let group = domain.stored.value.groups.get(&number);
         group.is_none_or(|group| group.phase == GroupPhase::Retiring)
     });
-    assert_eq!(domain.told_lost, [], "no router breaks its requests off");
+    assert_eq!(domain.told_lost, [], "no router aborts its requests");
     assert!(!domain.stored.value.releasing.contains_key(&members[0]));
 }
 
@@ -238,7 +250,7 @@
     );
     let now = domain.now;
     domain.controller.suspect(now, number);
-    domain.run_until("dissolved once requests show it", |domain| {
+    domain.run_until("group dissolved once a router suspects it", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
 }
@@ -256,7 +268,7 @@
     }
     assert!(domain.stored.value.groups.contains_key(&number));
     domain.moving.clear();
-    domain.run_until("dissolved once nothing moves", |domain| {
+    domain.run_until("group dissolved once it produces no output", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
 }
@@ -290,13 +302,13 @@
         let in_window = domain.loads[index..]
             .iter()
             .filter(|at| at.since(*first) < seconds(5));
-        // 4 a second, a tenth more, and 3.
+        // The rate is 4 loads per second over 5 s; up to 5 more are tolerated.
         assert!(in_window.count() <= 25);
     }
-    assert!(domain.loads.len() >= 32, "all hosts load in the end");
+    assert!(domain.loads.len() >= 32, "all hosts load eventually");
 }
 
-/// A host that came empty, in a fabric domain of its own.
+/// Adds hosts without weights, in a fabric domain of their own.
 fn add_empty_hosts(domain: &mut Domain, count: usize) {
     for _ in 0..count {
         domain.add_host(1);
@@ -329,7 +341,7 @@
     }
 }
 
-/// Loses a large group, two of whose hosts are gone, while so much work arrives.
+/// Fails two hosts of a large group while this much work arrives.
 fn lose_large_group(domain: &mut Domain, large: f64, small: f64) {
     let (number, members) = domain.group_of(LARGE);
     for member in &members[1..3] {
@@ -345,10 +357,13 @@
 fn a_small_group_that_has_less_to_do_is_preempted() {
     let mut domain = Domain::serving(&[8, 8]);
     lose_large_group(&mut domain, 200.0, 5.0);
-    domain.run_until("a second large group stands again", |domain| {
+    domain.run_until("second large group formed again", |domain| {
         domain.open_groups(LARGE) == 2
     });
-    assert!(domain.loads.is_empty(), "hosts with the weights were there");
+    assert!(
+        domain.loads.is_empty(),
+        "hosts with the weights were available"
+    );
 }
 
 #[test]
@@ -358,7 +373,7 @@
     let mut seen = work(5.0, 200.0);
     seen.sampled_requests = 20.0;
     domain.note_work(&seen);
-    domain.run_until("as if nothing were known", |domain| {
+    domain.run_until("preemption as without an estimate", |domain| {
         domain.open_groups(LARGE) == 2
     });
 }
@@ -368,7 +383,7 @@
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(SMALL);
     domain.engine(&members[1]).is_leaving = true;
-    domain.run_until("gone", |domain| {
+    domain.run_until("group removed", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
     assert_eq!(domain.engines[&members[0]].phase, EnginePhase::Idle);
@@ -378,7 +393,8 @@
 fn a_stray_host_leaves_its_old_group_before_it_is_used() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    // It is cut off, its group dissolved without it; then it is back and still open.
+    // The host is cut off and its group is dissolved without it. Then it is reachable again, and
+    // still open.
     domain.go_dark(&members[0]);
     domain.engine(&members[0]).is_listed = false;
     domain.run_for(seconds(10));
@@ -386,18 +402,18 @@
     let head = domain.engine(&members[0]);
     head.is_reachable = true;
     head.is_listed = true;
-    domain.run_until("left", |domain| {
+    domain.run_until("host left its old group", |domain| {
         domain.engines[&members[0]].group != Some(number)
     });
     assert_eq!(host(0).as_str(), "host-00");
 }
 
-/// Seen: rank 0 and one other member of a group were cut off from the platform, and the group
-/// was dissolved without them. The lease passed on, and 100 ms later its new holder put the
-/// other member, which was listed again, into a new group, while rank 0 was still open and
-/// nobody had told the member to leave. Evidence, from the log of the holders: the list showed
-/// the member in its old group, but was older than the new holder's first look at the
-/// assignment, and what an old list shows was not counted at all.
+/// Guards against a new holder that uses a host which is still in an old group. Rank 0 and
+/// another member of a group were cut off from the platform, and the group was dissolved without
+/// them. After a lease handover the new holder put the other member, which was listed again, into
+/// a new group within 100 ms, while rank 0 was still open and the member had not been ordered to
+/// leave. The list showed the member in its old group, but was older than the new holder's first
+/// read of the assignment and was therefore ignored.
 #[test]
 fn a_new_holder_with_an_old_list_uses_no_host_that_it_shows_in_a_group() {
     let mut domain = Domain::serving(&[6]);
@@ -409,11 +425,11 @@
     };
     lose(&mut domain, &members[0]);
     lose(&mut domain, &members[2]);
-    domain.run_until("the others left", |domain| {
+    domain.run_until("the other members left", |domain| {
         let left = |host| domain.engines[host].group.is_none();
         left(&members[1]) && left(&members[3])
     });
-    // One free host is left, which would make a small group with the one that comes back.
+    // One free host remains, which could form a small group with the returning member.
     for host in [&members[1], &members[3], &pair[0]] {
         lose(&mut domain, host);
     }
@@ -426,7 +442,7 @@
     domain.run_for(seconds(1));
     assert_eq!(domain.engines[&members[2]].group, Some(number));
     domain.list_moves = true;
-    domain.run_until("it left and is used", |domain| {
+    domain.run_until("member left its old group and is used again", |domain| {
         domain.open_groups(SMALL) == 1
     });
 }
@@ -439,7 +455,7 @@
     domain.go_dark(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
-    let waited = domain.run_until("the others are free", |domain| {
+    let waited = domain.run_until("the other members are released", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
     assert!(waited < seconds(3), "{waited:?}");
@@ -461,7 +477,7 @@
     let mut domain = Domain::serving(&[11]);
     let used = domain.stored.value.used_hosts();
     let mut free = domain.engines.keys().filter(|id| !used.contains(*id));
-    let spare = free.next().expect("one host is left over").clone();
+    let spare = free.next().expect("one host is free").clone();
     let (number, members) = domain.group_of(SMALL);
     let silent = [&spare, &members[1]];
     for host in silent {
@@ -479,10 +495,12 @@
     for host in silent {
         domain.engine(host).is_reachable = true;
     }
-    domain.run_until("all serve again", |domain| domain.open_groups(SMALL) == 3);
+    domain.run_until("all groups serve again", |domain| {
+        domain.open_groups(SMALL) == 3
+    });
 }
 
-/// The list does not change for 5 s; then it is true again, without this host.
+/// Stops updates of the host list for 5 s; the next list lacks this host.
 fn list_returns_without(domain: &mut Domain, host: &HostId) {
     domain.list_moves = false;
     domain.run_for(seconds(5));
@@ -506,13 +524,13 @@
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     list_returns_without(&mut domain, &members[0]);
-    let waited = domain.run_until("dissolved", |domain| {
+    let waited = domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
     assert!(waited < seconds(3), "{waited:?}");
 }
 
-/// Routers that are late or cut off themselves take every group for stalled.
+/// Reports every group as suspect, as routers do that are delayed or cut off themselves.
 fn suspect_all(domain: &mut Domain) {
     let now = domain.now;
     let groups: Vec<_> = domain.stored.value.groups.keys().copied().collect();
@@ -521,9 +539,10 @@
     }
 }
 
-/// A lease holder whose link was full of a large configuration got no answer to its probes in
-/// time, and routers in the same plight saw no output: it dissolved all nine groups of its
-/// failure domain, none of which had lost a member, and cut 200 callers' streams.
+/// Guards against a holder that takes its own network failure for lost hosts. A lease holder
+/// whose link was saturated by a large configuration got no timely answers to its probes, and
+/// routers with the same problem saw no output. It dissolved all nine groups of its failure
+/// domain, none of which had lost a member, and cut off the streams of 200 callers.
 #[test]
 fn a_holder_that_no_host_answers_dissolves_nothing() {
     for stall_ms in [500, 2_000, 5_000] {
@@ -545,7 +564,7 @@
     }
 }
 
-/// The same, and most probes get through late.
+/// The same failure, with most probes answered too late.
 #[test]
 fn a_holder_that_few_hosts_answer_dissolves_nothing() {
     let mut domain = Domain::serving(&[9, 9]);
@@ -578,7 +597,7 @@
     }
     let now = domain.now;
     domain.controller.suspect(now, number);
-    let took = domain.run_until("dissolved", |domain| {
+    let took = domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
     assert!(took < seconds(1), "{took:?}");
@@ -599,27 +618,27 @@
         .filter(|(_, group)| dark.contains(&group.members[0].host))
         .map(|(number, _)| *number)
         .collect();
-    assert!(lost.len() >= 2, "some groups stood there");
+    assert!(lost.len() >= 2, "the fabric domain has groups");
     let now = domain.now;
     for number in &lost {
         domain.controller.suspect(now, *number);
     }
-    let took = domain.run_until("all dissolved", |domain| {
+    let took = domain.run_until("all groups dissolved", |domain| {
         let groups = &domain.stored.value.groups;
         lost.iter().all(|number| !groups.contains_key(number))
     });
     assert!(took <= Duration::from_millis(600), "{took:?}");
 }
 
-/// Restarts a member of a group that serves; says how long the group was kept after that. Then
-/// a whole one serves again.
+/// Restarts a member of a serving group. Returns how long the group was kept after that, and
+/// waits until a complete group serves again.
 fn dissolves_restarted(domain: &mut Domain, rank: usize, started: u64) -> Duration {
     let (number, members) = domain.group_of(LARGE);
     domain.restart(&members[rank], started);
-    let kept = domain.run_until("dissolved", |domain| {
+    let kept = domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
-    domain.run_until("a whole group serves again", |domain| {
+    domain.run_until("a complete group serves again", |domain| {
         domain.open_groups(LARGE) == 1
     });
     kept
@@ -660,7 +679,7 @@
     for (rank, host) in members.iter().enumerate() {
         domain.restart(host, 2_000_000 + rank as u64);
     }
-    domain.run_until("formed anew", |domain| {
+    domain.run_until("group formed again", |domain| {
         !domain.stored.value.groups.contains_key(&number) && domain.open_groups(LARGE) == 1
     });
 }
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -1,8 +1,8 @@
-//! A controller before engines that join and open by order, with an oracle.
+//! Simulation of a controller with engines that join and open by order, which checks invariants.
 //!
-//! The engines take an order only if its group is not older than their last. The
-//! oracle panics when a host joins a group while rank 0 of the group it stands in
-//! takes requests, and when a group opens that is not whole.
+//! The engines accept an order only if its group is not older than the last one they joined. The
+//! simulation panics when a host joins a group while rank 0 of its current group takes requests,
+//! and when a group opens that is not complete.
 
 #![allow(dead_code)]
 
@@ -26,7 +26,7 @@
 use shalehinge::settings::control::{Assembly, ControlSettings};
 
 const STEP: Duration = Duration::from_millis(50);
-/// How long a look waits for its answer.
+/// Time after which a probe is considered unanswered.
 pub const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
 const WARM_JOIN: Duration = Duration::from_millis(1_500);
 const COLD_JOIN: Duration = Duration::from_secs(15);
@@ -34,13 +34,13 @@
 pub const LARGE: &str = "s/large";
 pub const SMALL: &str = "s/small";
 
-/// One engine.
+/// Simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub group: Option<GroupNumber>,
     pub phase: EnginePhase,
     pub staged: Vec<ModelName>,
-    /// The model of its last group.
+    /// Model of its last group, which it holds in memory.
     pub model: Option<ModelName>,
     pub is_listed: bool,
     pub is_reachable: bool,
@@ -52,31 +52,31 @@
     started: EngineStart,
 }
 
-/// The failure domain with its controller.
+/// Simulated failure domain with its controller.
 pub struct Domain {
     pub controller: Controller,
     pub engines: BTreeMap<HostId, Engine>,
     pub stored: Versioned<Assignment>,
     pub now: Timestamp,
-    /// Whether the list still tells what is new.
+    /// Whether the host list is still updated.
     pub list_moves: bool,
     pub loads_are_free: bool,
     pub loads: Vec<Timestamp>,
-    /// Loads of second weights.
+    /// Times at which weights of second models were staged.
     pub stages: Vec<Timestamp>,
     pub orders: usize,
-    /// Orders that go unanswered and are carried out later.
+    /// Orders that were not answered and are carried out later.
     pub late: Vec<(HostId, Order)>,
     pub loses_answers: bool,
-    /// Groups that bring output to some router.
+    /// Groups that produce output according to some router.
     pub moving: Vec<GroupNumber>,
-    /// Groups that routers were told of as lost.
+    /// Groups that were reported to routers as lost.
     pub told_lost: Vec<GroupNumber>,
-    /// What is stored is not in the form of an assignment.
+    /// Whether the stored assignment cannot be decoded.
     pub is_foreign: bool,
-    /// A model whose load ends the engine, which starts again under its name.
+    /// Model whose loading crashes the engine, which then restarts.
     pub crashing_model: Option<ModelName>,
-    /// Engines that ended so, and when.
+    /// Engines that crashed during a load, and when.
     pub ended: Vec<(Timestamp, HostId)>,
     state: FleetState,
     list_version: u64,
@@ -125,7 +125,8 @@
 }
 
 impl Domain {
-    /// Fabric domains of these sizes, nothing formed yet, loads free.
+    /// Creates a failure domain with fabric domains of these sizes, no groups and unlimited
+    /// loads.
     pub fn new(fabrics: &[usize]) -> Self {
         let mut engines = BTreeMap::new();
         for (fabric, count) in fabrics.iter().enumerate() {
@@ -165,12 +166,12 @@
         }
     }
 
-    /// From now on so many loads a second may begin.
+    /// Limits the number of loads that may begin per second.
     pub fn set_load_rate(&mut self, per_second: f64) {
         self.set_loads(per_second, None);
     }
 
-    /// From now on so many loads a second may begin, and so many run at full speed.
+    /// Limits the number of loads that may begin per second, and of loads that run at full speed.
     pub fn set_loads(&mut self, per_second: f64, at_once: Option<f64>) {
         let load_rate = Some(LoadRate {
             per_second,
@@ -187,7 +188,7 @@
         });
     }
 
-    /// The same with all groups open, and loads no longer free.
+    /// Creates a failure domain in which all groups are open, and loads are limited.
     pub fn serving(fabrics: &[usize]) -> Self {
         let mut domain = Self::new(fabrics);
         domain.run_for(Duration::from_secs(90));
@@ -197,12 +198,12 @@
         domain
     }
 
-    /// So much work arrives at the fleet.
+    /// Reports the work that arrives at the fleet to the controller.
     pub fn note_work(&mut self, work: &FleetWork) {
         self.controller.note_work(&self.state, work);
     }
 
-    /// A host comes to this fabric domain, empty.
+    /// Adds a host without weights to this fabric domain.
     pub fn add_host(&mut self, fabric: usize) {
         self.engines
             .insert(host(self.engines.len()), Engine::new(fabric));
@@ -215,29 +216,29 @@
         }
     }
 
-    /// Steps until the condition holds, a minute at most.
+    /// Runs until the condition holds, for at most a minute. Returns the elapsed time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
         let began = self.now;
         while !condition(self) {
             self.step();
             let passed = self.now.since(began);
-            assert!(passed < Duration::from_secs(60), "never: {what}");
+            assert!(passed < Duration::from_secs(60), "not within 60 s: {what}");
         }
         self.now.since(began)
     }
 
-    /// What the list shows now, for a successor that lags behind.
+    /// The current host list, for a successor that lags behind.
     pub fn list_as_it_is(&self) -> (FleetState, Timestamp) {
         (self.state.clone(), self.as_of)
     }
 
-    /// The list as it is just before a successor's first look at the assignment.
+    /// The updated host list, as it is just before a successor first reads the assignment.
     pub fn list_with_what_is_new(&mut self) -> (FleetState, Timestamp) {
         self.update_list();
         self.list_as_it_is()
     }
 
-    /// Another daemon takes over, which knows only an old list and learns no newer one.
+    /// Hands control over to another daemon that has only this list and receives no newer one.
     pub fn change_holder_with_list(&mut self, (state, as_of): (FleetState, Timestamp)) {
         self.change_holder();
         self.state = state;
@@ -245,7 +246,7 @@
         self.list_moves = false;
     }
 
-    /// Another daemon takes over, which knows nothing but what is stored.
+    /// Hands control over to another daemon that knows only the stored assignment.
     pub fn change_holder(&mut self) {
         self.controller = Controller::new(settings(), FailureDomain::new("d"));
     }
@@ -301,7 +302,7 @@
             ControllerAction::Write { expect, value } => {
                 assert_eq!(expect, self.stored.version);
                 self.is_foreign = false;
-                value.check().expect("a host is in one place");
+                value.check().expect("no host is used twice");
                 let version = Version::without_era(expect.number + 1);
                 self.stored = Versioned { version, value };
                 self.controller.on_written(version);
@@ -326,7 +327,7 @@
         }
     }
 
-    /// A look that was begun so long ago ends without an answer.
+    /// Reports a probe, sent `after` ago, as unanswered.
     pub fn give_up_look(&mut self, host: &HostId, after: Duration) {
         let asked_at = self.now.minus(after);
         self.controller.on_no_status(self.now, asked_at, host);
@@ -355,7 +356,7 @@
             .on_order_reply(self.now, self.now, &host, &order, reply);
     }
 
-    /// Orders that went unanswered reach their engines now.
+    /// Carries out the orders that were not answered.
     pub fn land_late_orders(&mut self) {
         for (host, order) in std::mem::take(&mut self.late) {
             self.carry_out(&host, &order);
@@ -447,7 +448,7 @@
         );
     }
 
-    /// Groups whose rank 0 takes requests, by model.
+    /// Number of groups of this model whose rank 0 takes requests.
     pub fn open_groups(&self, model: &str) -> usize {
         let groups = self.stored.value.groups.iter();
         groups
@@ -461,13 +462,13 @@
             .count()
     }
 
-    /// A group of this model that serves, with its members.
+    /// A serving group of this model, with its members.
     pub fn group_of(&self, model: &str) -> (GroupNumber, Vec<HostId>) {
         let groups = self.stored.value.groups.iter();
         let mut serving = groups.filter(|(_, group)| {
             group.model.as_str() == model && group.phase == GroupPhase::Serving
         });
-        let (number, group) = serving.next().expect("one serves");
+        let (number, group) = serving.next().expect("a group serves");
         let members = group.members.iter().map(|m| m.host.clone()).collect();
         (*number, members)
     }
@@ -476,8 +477,8 @@
         self.engines.get_mut(host).expect("known")
     }
 
-    /// The engine starts again under its name and knows nothing of before. `started` is by the
-    /// clock of its host.
+    /// Restarts the engine, which loses all its state. `started` is its start time by the clock
+    /// of its host.
     pub fn restart(&mut self, host: &HostId, started: u64) {
         let engine = self.engine(host);
         engine.group = None;
@@ -488,7 +489,7 @@
         engine.started = EngineStart(started);
     }
 
-    /// The host is dark: it answers nobody, and the list forgets it after a while.
+    /// Cuts off the host: it answers no requests, but stays in the host list.
     pub fn go_dark(&mut self, host: &HostId) {
         self.engine(host).is_reachable = false;
     }
--- a/shalehinge/tests/placement.rs
+++ b/shalehinge/tests/placement.rs
@@ -1,4 +1,5 @@
-//! The planner alone: given these hosts, groups and intents, expect those steps.
+//! Tests of the placement planner: given hosts, groups and intents, it returns the expected
+//! steps.
 
 mod placement_support;
 
@@ -62,7 +63,7 @@
     assert_eq!(formed(&steps).len(), 1);
     assert_eq!(retired(&steps), []);
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "waits until the new one serves");
+    assert_eq!(domain.steps(), [], "waits until the replacement serves");
     domain.finish_loads();
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1);
@@ -162,7 +163,7 @@
     assert_eq!(retired(&domain.steps()), []);
 }
 
-/// Prints the size of an assignment of 166 groups of 8; for docs/CAPACITY.md.
+/// Prints the size of an assignment of 160 groups of 8 hosts, for docs/CAPACITY.md.
 #[test]
 #[ignore = "a measurement; run by hand with --ignored --nocapture"]
 fn measure_size_of_an_assignment() {
@@ -176,7 +177,7 @@
     println!("160 groups of 8: {json} bytes in JSON, {message_pack} in MessagePack");
 }
 
-/// One fabric domain with a large group and three small ones; the large one lost a host.
+/// One fabric domain with a large group, which lost a host, and three small groups.
 fn large_group_without_a_spare() -> Domain {
     let mut domain = Domain::new().fabric("a", 10);
     domain.follows_shares = true;
@@ -198,7 +199,7 @@
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1);
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "the free hosts are kept for it");
+    assert_eq!(domain.steps(), [], "the free hosts are reserved for it");
     domain.finish_changes();
     let steps = domain.steps();
     assert_eq!(formed(&steps).len(), 1, "{steps:?}");
@@ -219,11 +220,13 @@
     domain.want("small", 2, 3);
     domain.want("large", 4, 1);
     domain.settle();
-    // One of one and two of three: the small model has no claim on the large group.
+    // All of one large and two of three small replicas exist: the small model does not justify
+    // preempting the large group.
     assert_eq!(domain.steps(), []);
 }
 
-/// Two large groups, one of which lost a host, and three small ones, one beside it.
+/// Two large groups, one of which lost a host, and three small groups, one of them in the same
+/// fabric domain as the lost group.
 fn one_of_two_large_groups_lost() -> Domain {
     let mut domain = Domain::new().fabric("a", 6).fabric("b", 4).fabric("c", 4);
     domain.follows_shares = true;
@@ -254,7 +257,7 @@
     assert_eq!(
         retired(&domain.steps()).len(),
         1,
-        "by the wanted counts it is"
+        "preempted when compared by wanted replicas"
     );
     domain.needs = [("large", 0.5), ("small", 3.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
@@ -268,9 +271,9 @@
     domain.add_hosts("a", 10..11);
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1, "{steps:?}");
-    assert_eq!(formed(&steps), [], "a load would take longer");
+    assert_eq!(formed(&steps), [], "preemption is faster than a load");
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "the free hosts are kept for it");
+    assert_eq!(domain.steps(), [], "the free hosts are reserved for it");
     domain.finish_changes();
     let steps = domain.steps();
     let loads = steps.iter().filter_map(|step| match step {
@@ -281,8 +284,8 @@
     assert_eq!(loads, [("large", 0), ("small", 1)]);
 }
 
-/// The silent host is not counted, so that one group less is wanted. The group that serves
-/// well is not one too many while the other may have lost a member.
+/// The unreachable host is not counted, so that one group less is wanted. The serving group must
+/// not be treated as surplus while the other one may have lost a member.
 #[test]
 fn a_group_that_serves_is_no_surplus_while_another_may_have_lost_a_member() {
     let mut domain = Domain::new().fabric("a", 5).fabric("b", 5);
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -1,4 +1,4 @@
-//! A failure domain for tests of the planner that read as examples.
+//! Simulated failure domain for tests of the placement planner.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,10 +22,10 @@
     assignment: Assignment,
     down: BTreeSet<HostId>,
     lost: BTreeMap<GroupNumber, Option<HostId>>,
-    /// Whether replicas follow from shares, so that models give way to each other.
+    /// Whether replica counts follow from work shares, so that models preempt each other.
     pub follows_shares: bool,
     pub held: HeldWeights,
-    /// Replicas that the work of each model keeps busy, as far as it is known.
+    /// Replicas that the workload of each model keeps busy; empty if unknown.
     pub needs: Needs,
 }
 
@@ -46,13 +46,13 @@
         domain
     }
 
-    /// Hosts `name0` and so on, connected by one fabric.
+    /// Adds a fabric domain with hosts `name0`, `name1` and so on.
     pub fn fabric(mut self, name: &str, hosts: u16) -> Self {
         self.add_hosts(name, 0..hosts);
         self
     }
 
-    /// Adds hosts with these numbers to a fabric; they hold no weights.
+    /// Adds hosts with these numbers to a fabric domain; they hold no weights.
     pub fn add_hosts(&mut self, name: &str, numbers: std::ops::Range<u16>) {
         for number in numbers {
             let record = HostRecord {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// All hosts hold these models' weights.
+    /// Makes all hosts hold the weights of these models.
     pub fn hold(&mut self, models: &[&str]) {
         let version = ModelVersion::new("v1");
         let held: Vec<_> = models
@@ -116,7 +116,7 @@
         self.fleet.draining.insert(HostId::new(host));
     }
 
-    /// A host dies, and its group is known to be lost.
+    /// Fails a host and marks its group as lost.
     pub fn lose(&mut self, host: &str) {
         let host = HostId::new(host);
         let groups = self.assignment.groups.iter();
@@ -126,7 +126,7 @@
         self.down.insert(host);
     }
 
-    /// A host left one probe unanswered; whether its group lost it is not known yet.
+    /// Marks a host as unreachable without marking its group as lost.
     pub fn silence(&mut self, host: &str) {
         self.down.insert(HostId::new(host));
     }
@@ -154,11 +154,11 @@
                 self.lost.remove(group);
             }
             apply_step(&mut self.assignment, step);
-            self.assignment.check().expect("no host twice");
+            self.assignment.check().expect("no host is used twice");
         }
     }
 
-    /// Forming groups serve.
+    /// Lets all forming groups serve.
     pub fn finish_loads(&mut self) {
         for group in self.assignment.groups.values_mut() {
             if group.phase == GroupPhase::Forming {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Forming groups serve, and all live hosts acknowledge their release.
+    /// Lets all forming groups serve, and all live hosts confirm their release.
     pub fn finish_changes(&mut self) {
         self.finish_loads();
         let down = &self.down;
@@ -178,7 +178,7 @@
             .retain(|_, group| group.phase != GroupPhase::Retiring);
     }
 
-    /// Applies and finishes steps until there are none; says which there were.
+    /// Applies and completes steps until the planner returns none. Returns all steps.
     pub fn settle(&mut self) -> Vec<PlacementStep> {
         let mut all = Vec::new();
         for _ in 0..50 {
@@ -190,7 +190,7 @@
             self.finish_changes();
             all.extend(steps);
         }
-        panic!("does not settle: {all:?}");
+        panic!("does not converge: {all:?}");
     }
 
     pub fn count(&self, phase: GroupPhase) -> usize {
@@ -203,7 +203,7 @@
         groups.all(|group| group.version.as_str() == version && group.phase == GroupPhase::Serving)
     }
 
-    /// Members of the group that was formed as the `index`th.
+    /// Members of the group that was formed as number `index`, starting at 0.
     pub fn members_of(&self, index: u64) -> Vec<String> {
         let number = GroupNumber(GroupNumber::FIRST.0 + index);
         let group = &self.assignment.groups[&number];
@@ -216,7 +216,7 @@
         hosts.map(|host| host.as_str()).collect()
     }
 
-    /// Bytes of the assignment in JSON and in MessagePack.
+    /// Size of the assignment in bytes, as JSON and as MessagePack.
     pub fn assignment_sizes(&self) -> (usize, usize) {
         let json = serde_json::to_vec(&self.assignment).expect("JSON");
         let message_pack = rmp_serde::to_vec(&self.assignment).expect("MessagePack");
--- a/shalehinge/tests/shares.rs
+++ b/shalehinge/tests/shares.rs
@@ -1,4 +1,4 @@
-//! How models are divided over failure domains by their parts of the work.
+//! Tests of the distribution of models over failure domains by their work shares.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Failure domains `d0` and so on with fabric domains of these sizes.
+/// Failure domains `d0`, `d1` and so on, with fabric domains of these sizes.
 fn domains(fabrics: &[&[usize]]) -> Domains {
     let hosts = |sizes: &[usize]| DomainHosts {
         fabric_sizes: sizes.to_vec(),
@@ -140,8 +140,8 @@
     assert_eq!(replicas(&after, "large"), 2);
 }
 
-/// Room in some domain for a replica of each model, one at a time, and more domains than
-/// models: then no model is without a replica.
+/// Property test: every failure domain can hold a replica of each model, and there are at least
+/// as many failure domains as models, so every model must get a replica.
 #[test]
 fn no_model_is_left_out_where_domains_can_hold_it() {
     const RUNS: u64 = 2_000;
