--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -474,13 +474,13 @@
     ),
     "models-over-the-fleet": (
         CORE + "placement/fleet_shares.rs",
-        "let is_narrow = counts.values().any(|count| *count == 0);",
-        "let is_narrow = false;",
+        "let is_undersized = counts.values().any(|count| *count == 0);",
+        "let is_undersized = false;",
         "shares", "hold_different_ones",
     ),
     "silent-member-is-no-surplus": (
         CORE + "placement/planner.rs",
-        "current.filter(|n| self.is_answering(n)).collect()",
+        "current.filter(|n| self.is_reachable(n)).collect()",
         "current.collect()",
         "placement", "no_surplus_while_another",
     ),
--- a/shalehinge/src/core/change.rs
+++ b/shalehinge/src/core/change.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::objects::{FleetConfig, HostList, ModelIntent, PlacementWeights};
-use super::placement::divide::{divide, room};
+use super::placement::divide::{capacity, divide};
 use super::types::{Customer, HostId, ModelName, ModelVersion};
 
 /// Most hosts that a replica may span.
@@ -118,12 +118,12 @@
                 if !fleet.customers.contains_key(owner) {
                     return Err(ChangeError::UnknownCustomer(owner.clone()));
                 }
-                let room = room(hosts, fleet, model, *hosts_per_replica as usize);
+                let capacity = capacity(hosts, fleet, model, *hosts_per_replica as usize);
                 let intent = ModelIntent {
                     owner: owner.clone(),
                     version: version.clone(),
                     hosts_per_replica: *hosts_per_replica,
-                    replicas: divide(*replicas, &room),
+                    replicas: divide(*replicas, &capacity),
                 };
                 changed.models.insert(model.clone(), intent);
             }
--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -42,7 +42,9 @@
 use crate::core::engine::{Command, EngineStatus, Order, OrderReply};
 use crate::core::fleet_state::FleetState;
 use crate::core::objects::{Assignment, GroupPhase, Member, Versioned};
-use crate::core::placement::need::{Needs, differ_much, needs_of};
+use crate::core::placement::replica_demand::{
+    ReplicaDemand, differ_significantly, estimate_demand,
+};
 use crate::core::types::{
     Address, Epoch, FailureDomain, GroupNumber, HostId, ModelName, OperationId, Timestamp, Version,
 };
@@ -183,9 +185,9 @@
     standing_since: BTreeMap<GroupNumber, Timestamp>,
     plans: ServicePlans,
     /// Replicas that the arriving work keeps busy; empty while too little work was sampled.
-    needs: Needs,
+    replica_demand: ReplicaDemand,
     /// The estimate that was last logged.
-    logged_needs: Needs,
+    logged_demand: ReplicaDemand,
     /// Whether a member of a suspected group became silent since routers were last asked which
     /// groups produce output.
     asks_moving: bool,
@@ -236,8 +238,8 @@
             hosts_came_at: None,
             standing_since: BTreeMap::new(),
             plans: ServicePlans::default(),
-            needs: Needs::new(),
-            logged_needs: Needs::new(),
+            replica_demand: ReplicaDemand::new(),
+            logged_demand: ReplicaDemand::new(),
             asks_moving: false,
             loads: LoadBudget::default(),
             load_crashes: LoadCrashes::default(),
@@ -387,14 +389,14 @@
     /// Returns log lines if the estimate differs significantly from the last logged one.
     pub fn note_work(&mut self, state: &FleetState, work: &FleetWork) -> Vec<String> {
         let fleet = state.fleet();
-        let needs = fleet.and_then(|fleet| needs_of(&fleet.value.profiles, work));
-        self.needs = needs.unwrap_or_default();
-        if !differ_much(&self.needs, &self.logged_needs) {
+        let replica_demand = fleet.and_then(|fleet| estimate_demand(&fleet.value.profiles, work));
+        self.replica_demand = replica_demand.unwrap_or_default();
+        if !differ_significantly(&self.replica_demand, &self.logged_demand) {
             return Vec::new();
         }
-        self.logged_needs.clone_from(&self.needs);
-        let needs = self.needs.iter();
-        needs
+        self.logged_demand.clone_from(&self.replica_demand);
+        let replica_demand = self.replica_demand.iter();
+        replica_demand
             .map(|(model, busy)| format!("work for {model} keeps {busy:.1} replicas busy"))
             .collect()
     }
--- a/shalehinge/src/core/controller/ordered_plan.rs
+++ b/shalehinge/src/core/controller/ordered_plan.rs
@@ -15,14 +15,14 @@
 use crate::core::types::{GroupNumber, HostId, ModelVersion, Timestamp};
 
 /// Number of replicas by model that are neither retiring nor lost.
-fn standing_replicas(
+fn existing_replicas(
     value: &Assignment,
     lost: &BTreeMap<GroupNumber, Option<HostId>>,
 ) -> ReplicaCounts {
-    let standing = value.groups.iter().filter(|(number, group)| {
+    let existing = value.groups.iter().filter(|(number, group)| {
         group.phase != GroupPhase::Retiring && !lost.contains_key(number)
     });
-    count_models(standing.map(|(_, group)| &group.model))
+    count_models(existing.map(|(_, group)| &group.model))
 }
 
 impl Controller {
@@ -41,10 +41,10 @@
         self.note_listed_losses(now, value);
         let lost = self.lost_groups(value);
         let mut avoided = self.out_of_reach(now, value);
-        let standing = standing_replicas(value, &lost);
+        let existing = existing_replicas(value, &lost);
         let input = PlanInput {
             domain: &self.domain,
-            standing: &standing,
+            existing: &existing,
             spare_share: self.settings.spare_share,
             unreachable: &avoided,
             entries_may_return: self.list_outage.may_return(),
@@ -65,7 +65,7 @@
         let passes = [Some(0), may_load.then_some(usize::MAX)];
         for max_loads in passes.into_iter().flatten() {
             for (index, plan) in self.plans.iter().enumerate() {
-                let part = self.plans.part_of(index, value);
+                let part = self.plans.part_for(index, value);
                 let mut fleet = plan.fleet.clone();
                 fleet.draining.extend(self.departed.iter().cloned());
                 let context = PlacementContext {
@@ -79,8 +79,8 @@
                     choice: self.settings.choice,
                     max_forming,
                     max_loads,
-                    keeps_surplus: true,
-                    needs: &self.needs,
+                    keep_surplus: true,
+                    replica_demand: &self.replica_demand,
                 };
                 for step in next_steps(&context) {
                     log.push(step.to_string());
--- a/shalehinge/src/core/controller/reported.rs
+++ b/shalehinge/src/core/controller/reported.rs
@@ -6,9 +6,9 @@
 use crate::core::engine::EngineStatus;
 use crate::core::fleet_state::FleetState;
 use crate::core::objects::{Assignment, GroupPhase};
-use crate::core::placement::need::NO_NEEDS;
 use crate::core::placement::planner::HeldWeights;
 use crate::core::placement::preview::apply_step;
+use crate::core::placement::replica_demand::UNKNOWN_DEMAND;
 use crate::core::placement::{PlacementContext, next_steps};
 use crate::core::types::{GroupNumber, HostId, Timestamp};
 
@@ -41,8 +41,8 @@
             choice: self.settings.choice,
             max_forming: self.settings.max_forming,
             max_loads: usize::MAX,
-            keeps_surplus: false,
-            needs: &NO_NEEDS,
+            keep_surplus: false,
+            replica_demand: &UNKNOWN_DEMAND,
         };
         let steps = next_steps(&context);
         for step in &steps {
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -45,7 +45,7 @@
     /// Hosts of this failure domain that are listed but cannot be used.
     pub(super) unreachable: &'a BTreeSet<HostId>,
     /// Replicas of this failure domain that are neither retiring nor lost, by model.
-    pub(super) standing: &'a ReplicaCounts,
+    pub(super) existing: &'a ReplicaCounts,
     /// Whether expired entries may reappear in the list. In that case the listed state of other
     /// failure domains is no reason to change the replicas of this one.
     pub(super) entries_may_return: bool,
@@ -54,9 +54,9 @@
 /// Plans of all services, recomputed when their inputs change.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePlans {
-    made_from: (FleetVersion, Version),
-    made_without: BTreeSet<HostId>,
-    made_beside: ReplicaCounts,
+    planned_versions: (FleetVersion, Version),
+    planned_unreachable: BTreeSet<HostId>,
+    planned_existing: ReplicaCounts,
     shares: BTreeMap<ServiceName, DomainShare>,
     without_room: Vec<ModelName>,
     plans: Vec<ServicePlan>,
@@ -74,16 +74,16 @@
         let (Some(fleet), Some(hosts)) = (state.fleet(), state.whole_hosts()) else {
             return Vec::new();
         };
-        let is_known = versions == self.made_from
-            && *input.unreachable == self.made_without
-            && *input.standing == self.made_beside;
-        if is_known {
+        let is_unchanged = versions == self.planned_versions
+            && *input.unreachable == self.planned_unreachable
+            && *input.existing == self.planned_existing;
+        if is_unchanged {
             return Vec::new();
         }
-        self.made_from = versions;
-        self.made_without.clone_from(input.unreachable);
-        self.made_beside.clone_from(input.standing);
-        let mut lines = self.divide(&fleet.value, &hosts.value, input);
+        self.planned_versions = versions;
+        self.planned_unreachable.clone_from(input.unreachable);
+        self.planned_existing.clone_from(input.existing);
+        let mut lines = self.distribute(&fleet.value, &hosts.value, input);
         wanted.retain(|model, _| fleet.value.profiles.contains_key(model));
         let services = services_of(&fleet.value);
         let plans: Vec<ServicePlan> = services
@@ -93,14 +93,14 @@
                 plan_of(&fleet.value, &hosts.value, service, &share, input, wanted)
             })
             .collect();
-        lines.extend(changes(&self.plans, &plans, input.domain));
+        lines.extend(changed_counts(&self.plans, &plans, input.domain));
         self.plans = plans;
         lines
     }
 
     /// Distributes the models of each service over the failure domains. Returns log lines if the
     /// set of models without room changed.
-    fn divide(
+    fn distribute(
         &mut self,
         fleet: &FleetConfig,
         hosts: &HostList,
@@ -114,12 +114,12 @@
         for service in services_of(fleet) {
             let profiles = profiles_of(fleet, service);
             let mut by_domain = hosts_by_domain(hosts, service);
-            if let Some(own) = by_domain.get_mut(input.domain) {
-                own.standing.clone_from(input.standing);
+            if let Some(own_hosts) = by_domain.get_mut(input.domain) {
+                own_hosts.existing.clone_from(input.existing);
             }
-            let of_fleet: FleetShares = fleet_shares(&profiles, &by_domain, input.spare_share);
-            without_room.extend(models_without_room(&profiles, &of_fleet));
-            if let Some(share) = of_fleet.get(input.domain) {
+            let distribution: FleetShares = fleet_shares(&profiles, &by_domain, input.spare_share);
+            without_room.extend(models_without_room(&profiles, &distribution));
+            if let Some(share) = distribution.get(input.domain) {
                 shares.insert(service.clone(), share.clone());
             }
         }
@@ -151,11 +151,15 @@
 
     /// The part of the assignment that belongs to one plan. Groups of models without a plan
     /// belong to the first plan, which retires them.
-    pub(super) fn part_of(&self, index: usize, whole: &Assignment) -> Assignment {
-        let knows = |plan: &ServicePlan, model: &ModelName| plan.fleet.models.contains_key(model);
+    pub(super) fn part_for(&self, index: usize, whole: &Assignment) -> Assignment {
+        let contains_model =
+            |plan: &ServicePlan, model: &ModelName| plan.fleet.models.contains_key(model);
         let mut part = whole.clone();
         part.groups.retain(|_, group| {
-            let owner = self.plans.iter().position(|plan| knows(plan, &group.model));
+            let owner = self
+                .plans
+                .iter()
+                .position(|plan| contains_model(plan, &group.model));
             owner.unwrap_or(0) == index
         });
         part
@@ -197,10 +201,10 @@
     fabrics
         .into_iter()
         .map(|(domain, sizes)| {
-            let standing = groups.remove(domain).unwrap_or_default();
+            let existing = groups.remove(domain).unwrap_or_default();
             let hosts = DomainHosts {
                 fabric_sizes: sizes.into_values().collect(),
-                standing: count_models(standing.values()),
+                existing: count_models(existing.values()),
             };
             (domain.clone(), hosts)
         })
@@ -218,7 +222,7 @@
     spare_share: f64,
     wanted: &mut ReplicaCounts,
 ) -> ReplicaCounts {
-    if share.is_narrow {
+    if share.is_undersized {
         wanted.extend(share.counts.clone());
         let counts = replicas_that_fit(profiles, sizes, share.counts.clone());
         // Hosts of a replica that does not fit here after all are used for other models.
@@ -226,9 +230,9 @@
     }
     let mut counts = replicas_by_share(profiles, sizes, spare_share);
     for (model, count) in &mut counts {
-        let most = wanted.entry(model.clone()).or_default();
-        *most = (*most).max(*count);
-        *count = *most;
+        let wanted_count = wanted.entry(model.clone()).or_default();
+        *wanted_count = (*wanted_count).max(*count);
+        *count = *wanted_count;
     }
     replicas_that_fit(profiles, sizes, counts)
 }
@@ -242,11 +246,11 @@
     wanted: &mut ReplicaCounts,
 ) -> ServicePlan {
     let PlanInput { domain, .. } = input;
-    let own = hosts.hosts.iter().filter(|(_, record)| {
+    let own_hosts = hosts.hosts.iter().filter(|(_, record)| {
         record.service.as_ref() == Some(service) && record.failure_domain == *domain
     });
     let hosts = HostList {
-        hosts: own
+        hosts: own_hosts
             .map(|(host, record)| (host.clone(), record.clone()))
             .collect(),
     };
@@ -284,7 +288,7 @@
     sizes.into_values().collect()
 }
 
-fn changes(old: &[ServicePlan], new: &[ServicePlan], domain: &FailureDomain) -> Vec<String> {
+fn changed_counts(old: &[ServicePlan], new: &[ServicePlan], domain: &FailureDomain) -> Vec<String> {
     let wanted = |plans: &[ServicePlan]| -> BTreeMap<ModelName, u32> {
         let models = plans.iter().flat_map(|plan| &plan.fleet.models);
         models
--- a/shalehinge/src/core/placement/divide.rs
+++ b/shalehinge/src/core/placement/divide.rs
@@ -10,7 +10,7 @@
 
 /// Number of groups of `size` hosts that fit into each failure domain, after subtracting the
 /// hosts wanted by the other models' intents.
-pub fn room(
+pub fn capacity(
     hosts: &HostList,
     fleet: &FleetConfig,
     model: &ModelName,
@@ -24,35 +24,35 @@
                 .or_default() += 1;
         }
     }
-    let mut room = BTreeMap::new();
+    let mut capacity = BTreeMap::new();
     for ((domain, _), count) in by_fabric {
-        *room.entry(domain.clone()).or_insert(0) += (count / size.max(1)) as u32;
+        *capacity.entry(domain.clone()).or_insert(0) += (count / size.max(1)) as u32;
     }
     for (other, intent) in &fleet.models {
         if other == model {
             continue;
         }
         for (domain, replicas) in &intent.replicas {
-            let taken = replicas * intent.hosts_per_replica / size.max(1) as u32;
-            if let Some(left) = room.get_mut(domain) {
-                *left = u32::saturating_sub(*left, taken);
+            let used = replicas * intent.hosts_per_replica / size.max(1) as u32;
+            if let Some(remaining) = capacity.get_mut(domain) {
+                *remaining = u32::saturating_sub(*remaining, used);
             }
         }
     }
-    room
+    capacity
 }
 
 /// Distributes `total` replicas over the failure domains. Replicas beyond the available capacity
 /// are distributed evenly as well, so that they are formed once hosts are added.
-pub fn divide(total: u32, room: &BTreeMap<FailureDomain, u32>) -> BTreeMap<FailureDomain, u32> {
+pub fn divide(total: u32, capacity: &BTreeMap<FailureDomain, u32>) -> BTreeMap<FailureDomain, u32> {
     let mut division: BTreeMap<FailureDomain, u32> =
-        room.keys().map(|domain| (domain.clone(), 0)).collect();
+        capacity.keys().map(|domain| (domain.clone(), 0)).collect();
     for _ in 0..total {
-        let next = division
+        let target = division
             .iter()
-            .min_by_key(|(domain, count)| (**count >= room[*domain], **count, *domain))
+            .min_by_key(|(domain, count)| (**count >= capacity[*domain], **count, *domain))
             .map(|(domain, _)| domain.clone());
-        let Some(domain) = next else {
+        let Some(domain) = target else {
             break;
         };
         *division.entry(domain).or_default() += 1;
--- a/shalehinge/src/core/placement/make_room.rs
+++ b/shalehinge/src/core/placement/make_room.rs
@@ -32,12 +32,12 @@
 
 /// Whether a group of `size` hosts fits into this group's fabric domain only once this group is
 /// removed.
-pub fn frees_enough(group: &Group, hosts: &HostList, free: &FreeCounts, size: usize) -> bool {
+pub fn would_free_enough(group: &Group, hosts: &HostList, free: &FreeCounts, size: usize) -> bool {
     let Some(fabric) = fabric_of(group, hosts) else {
         return false;
     };
-    let left = free.get(fabric).copied().unwrap_or(0);
-    left < size && left + group.members.len() >= size
+    let available = free.get(fabric).copied().unwrap_or(0);
+    available < size && available + group.members.len() >= size
 }
 
 /// The smallest serving group whose removal would free enough hosts for a group of `size`, and
@@ -50,16 +50,18 @@
 ) -> Option<(GroupNumber, FabricDomain)> {
     let candidates = assignment.groups.iter().filter(|(_, group)| {
         let is_smaller = group.members.len() < size;
-        group.phase == GroupPhase::Serving && is_smaller && frees_enough(group, hosts, free, size)
+        group.phase == GroupPhase::Serving
+            && is_smaller
+            && would_free_enough(group, hosts, free, size)
     });
     candidates
         .filter_map(|(number, group)| {
-            let from = fabric_of(group, hosts)?;
-            let to = free
+            let origin = fabric_of(group, hosts)?;
+            let destination = free
                 .iter()
-                .filter(|(fabric, count)| *fabric != from && **count >= group.members.len())
+                .filter(|(fabric, count)| *fabric != origin && **count >= group.members.len())
                 .min_by_key(|(_, count)| **count)?;
-            Some((group.members.len(), *number, to.0.clone()))
+            Some((group.members.len(), *number, destination.0.clone()))
         })
         .min()
         .map(|(_, number, fabric)| (number, fabric))
--- a/shalehinge/src/core/placement/mod.rs
+++ b/shalehinge/src/core/placement/mod.rs
@@ -12,7 +12,7 @@
 //! - `shares`: replica counts of one failure domain, derived from the models' work shares
 //! - `fleet_shares`: replica counts across failure domains, some of which are too small for every
 //!   model
-//! - `need`: how many replicas the workload of each model keeps busy
+//! - `replica_demand`: how many replicas the workload of each model keeps busy
 //! - `divide`: distribution of a model's replicas over failure domains
 //! - `stranded`: idle accelerators that no group can use
 //! - `preview`: simulation of the planner
@@ -21,10 +21,10 @@
 pub mod fleet_shares;
 pub mod host_choice;
 pub mod make_room;
-pub mod need;
 pub mod planner;
 pub mod preemption;
 pub mod preview;
+pub mod replica_demand;
 pub mod shares;
 pub mod stranded;
 pub mod yielding;
--- a/shalehinge/src/core/placement/planner.rs
+++ b/shalehinge/src/core/placement/planner.rs
@@ -10,9 +10,9 @@
 };
 
 use super::host_choice::{ChoiceInput, FreeHost, FreeHosts, HostChoice, take_hosts};
-use super::make_room::{FreeCounts, count_free, fabric_of, frees_enough, group_to_move};
-use super::need::Needs;
-use super::preemption::{fabric_to_keep, group_to_preempt, holds};
+use super::make_room::{FreeCounts, count_free, fabric_of, group_to_move, would_free_enough};
+use super::preemption::{fabric_to_reserve, group_to_preempt, holds_weights};
+use super::replica_demand::ReplicaDemand;
 use super::stranded::group_sizes;
 use super::yielding::group_to_yield;
 use super::{FormReason, PlacementStep, RetireReason};
@@ -45,9 +45,9 @@
     /// Maximum number of hosts of a new group that lack the weights.
     pub max_loads: usize,
     /// Whether surplus groups are kept until another model needs their hosts.
-    pub keeps_surplus: bool,
+    pub keep_surplus: bool,
     /// Replicas that the workload of each model keeps busy; empty if unknown.
-    pub needs: &'a Needs,
+    pub replica_demand: &'a ReplicaDemand,
 }
 
 impl PlacementContext<'_> {
@@ -73,9 +73,13 @@
 
     /// Number of replicas that a model needs: those that its workload keeps busy if this is known
     /// for all models, otherwise the wanted ones. Only the ratio between models is meaningful.
-    pub fn replicas_needed(&self, model: &ModelName) -> f64 {
-        let knows_all = self.fleet.models.keys().all(|m| self.needs.contains_key(m));
-        if let Some(busy) = self.needs.get(model).filter(|_| knows_all) {
+    pub fn required_replicas(&self, model: &ModelName) -> f64 {
+        let is_complete = self
+            .fleet
+            .models
+            .keys()
+            .all(|m| self.replica_demand.contains_key(m));
+        if let Some(busy) = self.replica_demand.get(model).filter(|_| is_complete) {
             return *busy;
         }
         let intent = self.fleet.models.get(model);
@@ -124,8 +128,8 @@
 pub fn next_steps(context: &PlacementContext<'_>) -> Vec<PlacementStep> {
     let mut steps = dissolve_lost(context);
     steps.extend(retire_unwanted_models(context));
-    let mut forming = Forming::new(context);
-    for (model, intent) in by_need(context) {
+    let mut forming = FormationState::new(context);
+    for (model, intent) in by_supply(context) {
         let mut planner = ModelPlanner {
             context,
             model,
@@ -169,30 +173,30 @@
 
 /// Models in order of increasing supply, so that the loads that end the most downtime are ordered
 /// first.
-fn by_need<'a>(context: &PlacementContext<'a>) -> Vec<(&'a ModelName, &'a ModelIntent)> {
-    let serving_part = |model: &ModelName| -> f64 {
+fn by_supply<'a>(context: &PlacementContext<'a>) -> Vec<(&'a ModelName, &'a ModelIntent)> {
+    let supply = |model: &ModelName| -> f64 {
         let serving = context
             .assignment
             .groups
             .values()
             .filter(|group| group.model == *model && group.phase == GroupPhase::Serving)
             .count();
-        serving as f64 / context.replicas_needed(model)
+        serving as f64 / context.required_replicas(model)
     };
     let mut models: Vec<_> = context.fleet.models.iter().collect();
-    models.sort_by(|a, b| serving_part(a.0).total_cmp(&serving_part(b.0)));
+    models.sort_by(|a, b| supply(a.0).total_cmp(&supply(b.0)));
     models
 }
 
 /// Remaining hosts and slots for forming groups in this planning round.
-struct Forming {
+struct FormationState {
     free: FreeHosts,
     sizes: BTreeSet<usize>,
     slots: usize,
-    yielded: bool,
+    hosts_pending: bool,
 }
 
-impl Forming {
+impl FormationState {
     fn new(context: &PlacementContext<'_>) -> Self {
         let groups = context.assignment.groups.values();
         let forming = groups
@@ -209,14 +213,14 @@
             free: context.free_hosts(),
             sizes: group_sizes(context.fleet),
             slots: context.max_forming.saturating_sub(forming),
-            yielded: retiring > 0 || is_releasing,
+            hosts_pending: retiring > 0 || is_releasing,
         }
     }
 }
 
-impl Forming {
+impl FormationState {
     /// Removes and returns the free hosts of all fabric domains except one.
-    fn take_all_but(&mut self, fabric: &FabricDomain) -> FreeHosts {
+    fn take_except(&mut self, fabric: &FabricDomain) -> FreeHosts {
         let kept = self.free.remove(fabric);
         let others = std::mem::take(&mut self.free);
         self.free.extend(kept.map(|hosts| (fabric.clone(), hosts)));
@@ -228,35 +232,35 @@
     context: &'b PlacementContext<'a>,
     model: &'a ModelName,
     intent: &'a ModelIntent,
-    forming: &'b mut Forming,
+    forming: &'b mut FormationState,
     steps: &'b mut Vec<PlacementStep>,
 }
 
 /// Existing groups of a model, classified by what should happen to them.
 #[derive(Default)]
-struct Standing {
+struct ModelGroups {
     /// Groups that match the intent.
     current: Vec<GroupNumber>,
     /// Groups with another version or size than wanted.
-    old: Vec<GroupNumber>,
+    outdated: Vec<GroupNumber>,
     /// Groups with a leaving host.
     leaving: Vec<(GroupNumber, HostId)>,
 }
 
-impl Standing {
+impl ModelGroups {
     fn total(&self) -> usize {
-        self.current.len() + self.old.len() + self.leaving.len()
+        self.current.len() + self.outdated.len() + self.leaving.len()
     }
 }
 
 impl ModelPlanner<'_, '_> {
     fn plan(&mut self) {
         let wanted = self.wanted();
-        let standing = self.standing();
-        self.form_missing(&standing, wanted);
-        self.replace_leaving(&standing, wanted);
-        self.replace_old(&standing, wanted);
-        self.retire_surplus(&standing, wanted);
+        let existing = self.existing();
+        self.form_missing(&existing, wanted);
+        self.replace_leaving(&existing, wanted);
+        self.replace_outdated(&existing, wanted);
+        self.retire_surplus(&existing, wanted);
     }
 
     fn wanted(&self) -> usize {
@@ -264,25 +268,25 @@
         wanted.copied().unwrap_or(0) as usize
     }
 
-    fn standing(&self) -> Standing {
-        let mut standing = Standing::default();
+    fn existing(&self) -> ModelGroups {
+        let mut existing = ModelGroups::default();
         for (number, group) in &self.context.assignment.groups {
-            let gone =
+            let is_excluded =
                 group.phase == GroupPhase::Retiring || self.context.lost.contains_key(number);
-            if group.model != *self.model || gone {
+            if group.model != *self.model || is_excluded {
                 continue;
             }
             if let Some(host) = self.context.leaving_member(group) {
-                standing.leaving.push((*number, host));
+                existing.leaving.push((*number, host));
             } else if group.version != self.intent.version
                 || group.members.len() != self.intent.hosts_per_replica as usize
             {
-                standing.old.push(*number);
+                existing.outdated.push(*number);
             } else {
-                standing.current.push(*number);
+                existing.current.push(*number);
             }
         }
-        standing
+        existing
     }
 
     fn is_serving(&self, number: &GroupNumber) -> bool {
@@ -290,30 +294,30 @@
     }
 
     /// Whether all members of the group are reachable.
-    fn is_answering(&self, number: &GroupNumber) -> bool {
+    fn is_reachable(&self, number: &GroupNumber) -> bool {
         let group = &self.context.assignment.groups[number];
         let mut hosts = group.members.iter().map(|member| &member.host);
         !hosts.any(|host| self.context.unreachable.contains(host))
     }
 
-    fn serving_count(&self, standing: &Standing) -> usize {
-        let leaving = standing.leaving.iter().map(|(number, _)| number);
-        standing
+    fn serving_count(&self, existing: &ModelGroups) -> usize {
+        let leaving = existing.leaving.iter().map(|(number, _)| number);
+        existing
             .current
             .iter()
-            .chain(&standing.old)
+            .chain(&existing.outdated)
             .chain(leaving)
             .filter(|number| self.is_serving(number))
             .count()
     }
 
-    fn form_missing(&mut self, standing: &Standing, wanted: usize) {
-        for present in standing.total()..wanted {
+    fn form_missing(&mut self, existing: &ModelGroups, wanted: usize) {
+        for present in existing.total()..wanted {
             let reason = FormReason::Missing {
                 wanted: wanted as u32,
                 present: present as u32,
             };
-            if self.context.keeps_surplus {
+            if self.context.keep_surplus {
                 if self.form_without_loads(reason.clone()) {
                     continue;
                 }
@@ -323,7 +327,7 @@
             }
             if !self.form(reason) {
                 self.make_room();
-                self.ask_for_yield();
+                self.request_yield();
                 return;
             }
         }
@@ -331,12 +335,12 @@
 
     /// Forms a replacement before retiring a group with a leaving host. If there are no hosts for
     /// a replacement, the group is retired without one.
-    fn replace_leaving(&mut self, standing: &Standing, wanted: usize) {
-        let spare_groups = standing.total().saturating_sub(wanted);
-        for (index, (number, host)) in standing.leaving.iter().enumerate() {
+    fn replace_leaving(&mut self, existing: &ModelGroups, wanted: usize) {
+        let spare_groups = existing.total().saturating_sub(wanted);
+        for (index, (number, host)) in existing.leaving.iter().enumerate() {
             let replaced = index < spare_groups;
             if replaced {
-                if self.serving_count(standing) > wanted || !self.is_serving(number) {
+                if self.serving_count(existing) > wanted || !self.is_serving(number) {
                     self.retire(*number, RetireReason::HostLeaving(host.clone()));
                 }
                 continue;
@@ -350,24 +354,24 @@
 
     /// Replaces one group at a time: forms the new group first or, without free hosts, retires
     /// the old one and forms the new one in its place.
-    fn replace_old(&mut self, standing: &Standing, wanted: usize) {
-        let Some(oldest) = standing.old.first() else {
+    fn replace_outdated(&mut self, existing: &ModelGroups, wanted: usize) {
+        let Some(oldest) = existing.outdated.first() else {
             return;
         };
-        if !standing.leaving.is_empty() {
+        if !existing.leaving.is_empty() {
             return;
         }
         let reason = RetireReason::OldVersion {
             wanted: self.intent.version.clone(),
         };
-        let serving = self.serving_count(standing);
-        if standing.total() > wanted {
+        let serving = self.serving_count(existing);
+        if existing.total() > wanted {
             if serving > wanted || !self.is_serving(oldest) {
                 self.retire(*oldest, reason);
             }
             return;
         }
-        if self.has_unfinished_change(standing) {
+        if self.has_unfinished_change(existing) {
             return;
         }
         let form_reason = FormReason::NewVersion { replaces: *oldest };
@@ -377,7 +381,7 @@
     }
 
     /// Whether any group of this model is still forming or retiring.
-    fn has_unfinished_change(&self, standing: &Standing) -> bool {
+    fn has_unfinished_change(&self, existing: &ModelGroups) -> bool {
         let retiring = self
             .context
             .assignment
@@ -385,26 +389,26 @@
             .values()
             .any(|group| group.model == *self.model && group.phase == GroupPhase::Retiring);
         retiring
-            || standing
+            || existing
                 .current
                 .iter()
                 .any(|number| !self.is_serving(number))
     }
 
-    fn retire_surplus(&mut self, standing: &Standing, wanted: usize) {
-        if !standing.old.is_empty() || !standing.leaving.is_empty() {
+    fn retire_surplus(&mut self, existing: &ModelGroups, wanted: usize) {
+        if !existing.outdated.is_empty() || !existing.leaving.is_empty() {
             return;
         }
-        if let Some(moved) = self.moved_group(standing, wanted) {
-            if self.serving_count(standing) > wanted {
+        if let Some(moved) = self.replaced_group(existing, wanted) {
+            if self.serving_count(existing) > wanted {
                 self.retire(moved, RetireReason::Surplus);
             }
             return;
         }
-        if self.context.keeps_surplus {
+        if self.context.keep_surplus {
             return;
         }
-        let mut surplus = standing.current.clone();
+        let mut surplus = existing.current.clone();
         // Retire groups that do not serve yet first, then the newest ones.
         surplus.sort_by_key(|number| (self.is_serving(number), std::cmp::Reverse(*number)));
         let count = surplus.len().saturating_sub(wanted);
@@ -418,7 +422,8 @@
     fn make_room(&mut self) {
         let context = self.context;
         let is_baseline = context.choice == HostChoice::FirstFit;
-        if is_baseline || self.forming.slots == 0 || self.forming.yielded || self.is_moving() {
+        if is_baseline || self.forming.slots == 0 || self.forming.hosts_pending || self.is_moving()
+        {
             return;
         }
         let size = self.intent.hosts_per_replica as usize;
@@ -433,10 +438,10 @@
             room_for: self.model.clone(),
         };
         let wanted = (group.model.clone(), group.version.clone());
-        let others = self.forming.take_all_but(&fabric);
+        let others = self.forming.take_except(&fabric);
         self.form_group(wanted, group.members.len(), context.max_loads, reason);
         self.forming.free.extend(others);
-        self.forming.yielded = true;
+        self.forming.hosts_pending = true;
     }
 
     /// Preempts a group of a better-supplied model if that avoids a load, which takes several
@@ -448,12 +453,12 @@
         if self.forming.slots == 0 {
             return false;
         }
-        let free = self.count_holding();
-        if let Some(fabric) = fabric_to_keep(context, &free, self.model, size) {
+        let free = self.count_free_with_weights();
+        if let Some(fabric) = fabric_to_reserve(context, &free, self.model, size) {
             self.forming.free.remove(&fabric);
             return true;
         }
-        if self.forming.yielded {
+        if self.forming.hosts_pending {
             return false;
         }
         let Some(number) = group_to_preempt(context, &free, self.model, size) else {
@@ -463,20 +468,20 @@
         if let Some(fabric) = fabric_of(group, context.hosts) {
             self.forming.free.remove(fabric);
         }
-        self.forming.yielded = true;
+        self.forming.hosts_pending = true;
         let to = self.model.clone();
         self.retire(number, RetireReason::Preempted { to });
         true
     }
 
     /// Number of free hosts that hold the weights of this model, by fabric domain.
-    fn count_holding(&self) -> FreeCounts {
+    fn count_free_with_weights(&self) -> FreeCounts {
         let free = self.forming.free.iter();
         free.map(|(fabric, hosts)| {
-            let holding = hosts
+            let with_weights = hosts
                 .iter()
-                .filter(|free| holds(self.context, &free.host, self.model));
-            (fabric.clone(), holding.count())
+                .filter(|free| holds_weights(self.context, &free.host, self.model));
+            (fabric.clone(), with_weights.count())
         })
         .collect()
     }
@@ -487,24 +492,24 @@
         context.fleet.models.iter().any(|(model, intent)| {
             let wanted = intent.replicas.get(context.domain).copied().unwrap_or(0);
             let groups = context.assignment.groups.values();
-            let standing =
+            let existing =
                 groups.filter(|group| group.model == *model && group.phase != GroupPhase::Retiring);
-            standing.count() > wanted as usize
+            existing.count() > wanted as usize
         })
     }
 
     /// The serving group that a surplus group replaces, so that another model that lacks a
     /// replica gets its hosts. A group with an unreachable member replaces none, because it may
     /// be found lost soon.
-    fn moved_group(&self, standing: &Standing, wanted: usize) -> Option<GroupNumber> {
-        let current = standing.current.iter().copied();
-        let answering: Vec<GroupNumber> = current.filter(|n| self.is_answering(n)).collect();
-        if answering.len() <= wanted {
+    fn replaced_group(&self, existing: &ModelGroups, wanted: usize) -> Option<GroupNumber> {
+        let current = existing.current.iter().copied();
+        let reachable: Vec<GroupNumber> = current.filter(|n| self.is_reachable(n)).collect();
+        if reachable.len() <= wanted {
             return None;
         }
         let context = self.context;
         let free = count_free(&self.forming.free);
-        let lacking = context.fleet.models.iter().filter(|(model, intent)| {
+        let models_with_shortage = context.fleet.models.iter().filter(|(model, intent)| {
             let groups = context.assignment.groups.iter();
             let present = groups.filter(|(number, group)| {
                 group.model == **model
@@ -514,13 +519,13 @@
             let wanted = intent.replicas.get(context.domain).copied().unwrap_or(0);
             present.count() < wanted as usize
         });
-        let sizes: Vec<usize> = lacking
+        let sizes: Vec<usize> = models_with_shortage
             .map(|(_, intent)| intent.hosts_per_replica as usize)
             .collect();
-        answering.into_iter().find(|number| {
+        reachable.into_iter().find(|number| {
             let group = &context.assignment.groups[number];
-            let frees = |size: &usize| frees_enough(group, context.hosts, &free, *size);
-            self.is_serving(number) && sizes.iter().any(frees)
+            let frees_hosts = |size: &usize| would_free_enough(group, context.hosts, &free, *size);
+            self.is_serving(number) && sizes.iter().any(frees_hosts)
         })
     }
 
@@ -581,19 +586,19 @@
 
     /// Retires a group of a customer above its share. Only one group is retired at a time, and
     /// only when no hosts are about to become free.
-    fn ask_for_yield(&mut self) {
-        if self.forming.yielded || self.forming.slots == 0 {
+    fn request_yield(&mut self) {
+        if self.forming.hosts_pending || self.forming.slots == 0 {
             return;
         }
         let context = self.context;
-        let giver = group_to_yield(
+        let candidate = group_to_yield(
             context.fleet,
             context.assignment,
             context.host_count(),
             self.model,
         );
-        if let Some((group, to)) = giver {
-            self.forming.yielded = true;
+        if let Some((group, to)) = candidate {
+            self.forming.hosts_pending = true;
             self.retire(group, RetireReason::Yield { to });
         }
     }
--- a/shalehinge/src/core/placement/preemption.rs
+++ b/shalehinge/src/core/placement/preemption.rs
@@ -10,21 +10,21 @@
 use crate::core::objects::{Group, GroupPhase};
 use crate::core::types::{FabricDomain, GroupNumber, HostId, ModelName};
 
-use super::make_room::{FreeCounts, fabric_of, frees_enough};
+use super::make_room::{FreeCounts, fabric_of, would_free_enough};
 use super::planner::PlacementContext;
 
-/// Fraction of the model's required replicas that exist, if `more` were added to them.
-fn standing_part(context: &PlacementContext<'_>, model: &ModelName, more: i64) -> f64 {
+/// Fraction of the model's required replicas that exist, if `added` were added to them.
+fn supplied_fraction(context: &PlacementContext<'_>, model: &ModelName, added: i64) -> f64 {
     let groups = context.assignment.groups.iter();
-    let standing = groups.filter(|(number, group)| {
+    let existing = groups.filter(|(number, group)| {
         let is_lost = context.lost.contains_key(number);
         group.model == *model && group.phase != GroupPhase::Retiring && !is_lost
     });
-    (standing.count() as i64 + more) as f64 / context.replicas_needed(model)
+    (existing.count() as i64 + added) as f64 / context.required_replicas(model)
 }
 
 /// Whether a host holds weights of a model, of any version.
-pub fn holds(context: &PlacementContext<'_>, host: &HostId, model: &ModelName) -> bool {
+pub fn holds_weights(context: &PlacementContext<'_>, host: &HostId, model: &ModelName) -> bool {
     let held = context.held.get(host);
     held.is_some_and(|held| held.iter().any(|(known, _)| known == model))
 }
@@ -38,50 +38,50 @@
     model: &ModelName,
     size: usize,
 ) -> Option<GroupNumber> {
-    let own_part = standing_part(context, model, 0);
-    let may_give = |group: &Group| {
+    let own_fraction = supplied_fraction(context, model, 0);
+    let may_preempt = |group: &Group| {
         group.phase == GroupPhase::Serving
             && group.model != *model
             && group.members.len() < size
-            && standing_part(context, &group.model, -1) > own_part
+            && supplied_fraction(context, &group.model, -1) > own_fraction
             && group
                 .members
                 .iter()
-                .all(|member| holds(context, &member.host, model))
-            && frees_enough(group, context.hosts, free, size)
+                .all(|member| holds_weights(context, &member.host, model))
+            && would_free_enough(group, context.hosts, free, size)
     };
     let groups = context.assignment.groups.iter();
-    let mut givers = groups
-        .filter(|(number, group)| !context.lost.contains_key(number) && may_give(group))
+    let mut candidates = groups
+        .filter(|(number, group)| !context.lost.contains_key(number) && may_preempt(group))
         .map(|(number, group)| (group.members.len(), *number))
         .collect::<Vec<_>>();
-    givers.sort_unstable();
-    givers.first().map(|(_, number)| *number)
+    candidates.sort_unstable();
+    candidates.first().map(|(_, number)| *number)
 }
 
 /// A fabric domain in which a group of `size` can be formed without loading weights once the
 /// retiring groups have left. Its free hosts must not be used for other groups meanwhile. `free`
 /// counts the hosts that hold the weights of `model`.
-pub fn fabric_to_keep(
+pub fn fabric_to_reserve(
     context: &PlacementContext<'_>,
     free: &FreeCounts,
     model: &ModelName,
     size: usize,
 ) -> Option<FabricDomain> {
-    let mut coming: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
+    let mut releasing: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
     for group in context.assignment.groups.values() {
         if group.phase != GroupPhase::Retiring {
             continue;
         }
         let members = group.members.iter();
-        let holding = members.filter(|member| holds(context, &member.host, model));
+        let holding = members.filter(|member| holds_weights(context, &member.host, model));
         if let Some(fabric) = fabric_of(group, context.hosts) {
-            *coming.entry(fabric).or_default() += holding.count();
+            *releasing.entry(fabric).or_default() += holding.count();
         }
     }
-    let fabric = coming.into_iter().find(|(fabric, count)| {
-        let left = free.get(*fabric).copied().unwrap_or(0);
-        left < size && left + count >= size
+    let fabric = releasing.into_iter().find(|(fabric, count)| {
+        let available = free.get(*fabric).copied().unwrap_or(0);
+        available < size && available + count >= size
     });
     fabric.map(|(fabric, _)| fabric.clone())
 }
--- a/shalehinge/src/core/placement/preview.rs
+++ b/shalehinge/src/core/placement/preview.rs
@@ -13,8 +13,8 @@
 
 use super::PlacementStep;
 use super::host_choice::HostChoice;
-use super::need::NO_NEEDS;
 use super::planner::{HeldWeights, PlacementContext, next_steps};
+use super::replica_demand::UNKNOWN_DEMAND;
 use super::stranded::stranded_accelerators;
 
 /// Maximum number of simulated rounds, whether or not the result is stable by then.
@@ -63,8 +63,8 @@
             choice: HostChoice::default(),
             max_forming: usize::MAX,
             max_loads: usize::MAX,
-            keeps_surplus: false,
-            needs: &NO_NEEDS,
+            keep_surplus: false,
+            replica_demand: &UNKNOWN_DEMAND,
         };
         let steps = next_steps(&context);
         if steps.is_empty() {
--- a/shalehinge/src/core/placement/need.rs
+++ b/shalehinge/src/core/placement/replica_demand.rs
@@ -10,56 +10,59 @@
 /// Minimum number of sampled requests for an estimate. With 200 requests, the rate of a model
 /// that receives a tenth of them is known to within a fifth; a less precise estimate does not
 /// justify moving replicas.
-const LEAST_SAMPLE: f64 = 200.0;
+const MIN_SAMPLED_REQUESTS: f64 = 200.0;
 /// Lower bound on the busy replicas of a model: a model without recent requests may be requested
 /// again.
-const LEAST_BUSY: f64 = 0.05;
+const MIN_BUSY_REPLICAS: f64 = 0.05;
 /// Weight of one output in prompt tokens, for engines that publish no processing times. One token
 /// of a full batch takes about as long as ten prompt tokens.
-const OUTPUT_WEIGHT: f64 = 10.0;
+const PROMPT_TOKENS_PER_OUTPUT: f64 = 10.0;
 /// Assumed prompt throughput of a replica, in tokens per second, for engines that publish no
 /// processing times.
-const PROMPT_TOKENS_PER_SECOND: f64 = 50_000.0;
+const DEFAULT_PROMPT_TOKENS_PER_SECOND: f64 = 50_000.0;
 
 /// Number of replicas, running full batches, that the workload of each model keeps busy.
-pub type Needs = BTreeMap<ModelName, f64>;
+pub type ReplicaDemand = BTreeMap<ModelName, f64>;
 
 /// No estimate is available.
-pub static NO_NEEDS: Needs = Needs::new();
+pub static UNKNOWN_DEMAND: ReplicaDemand = ReplicaDemand::new();
 
 /// Factor by which an estimate must change before it is logged again.
-const MUCH: f64 = 1.5;
+const LOG_THRESHOLD_FACTOR: f64 = 1.5;
 
 /// Whether the estimate of any model changed by more than the logging threshold, or the set of
 /// models changed.
-pub fn differ_much(needs: &Needs, others: &Needs) -> bool {
-    let is_other = |(model, busy): (&ModelName, &f64)| {
-        let before = others.get(model).copied().unwrap_or(0.0);
-        *busy > before * MUCH || before > *busy * MUCH
+pub fn differ_significantly(demand: &ReplicaDemand, previous_demand: &ReplicaDemand) -> bool {
+    let has_changed = |(model, busy): (&ModelName, &f64)| {
+        let previous = previous_demand.get(model).copied().unwrap_or(0.0);
+        *busy > previous * LOG_THRESHOLD_FACTOR || previous > *busy * LOG_THRESHOLD_FACTOR
     };
-    needs.len() != others.len() || needs.iter().any(is_other)
+    demand.len() != previous_demand.len() || demand.iter().any(has_changed)
 }
 
 /// Estimates the busy replicas of each model from the arriving work. Returns `None` if too few
 /// requests were sampled.
-pub fn needs_of(profiles: &BTreeMap<ModelName, ModelProfile>, work: &FleetWork) -> Option<Needs> {
-    if work.sampled_requests < LEAST_SAMPLE {
+pub fn estimate_demand(
+    profiles: &BTreeMap<ModelName, ModelProfile>,
+    work: &FleetWork,
+) -> Option<ReplicaDemand> {
+    if work.sampled_requests < MIN_SAMPLED_REQUESTS {
         return None;
     }
-    let needs = profiles.iter().map(|(model, profile)| {
-        let of_model = work.per_second.get(model).copied().unwrap_or_default();
-        let busy = busy_replicas(profile, of_model).max(LEAST_BUSY);
+    let demand = profiles.iter().map(|(model, profile)| {
+        let model_work = work.per_second.get(model).copied().unwrap_or_default();
+        let busy = busy_replicas(profile, model_work).max(MIN_BUSY_REPLICAS);
         (model.clone(), busy)
     });
-    Some(needs.collect())
+    Some(demand.collect())
 }
 
 /// Replicas kept busy by this work: the time to process the prompts, plus the share of full-batch
 /// steps that produces the outputs.
 fn busy_replicas(profile: &ModelProfile, work: ModelWork) -> f64 {
     let Some(times) = profile.times else {
-        let tokens = work.prompt_tokens + OUTPUT_WEIGHT * work.expected_outputs();
-        return profile.pace * tokens / PROMPT_TOKENS_PER_SECOND;
+        let tokens = work.prompt_tokens + PROMPT_TOKENS_PER_OUTPUT * work.expected_outputs();
+        return profile.pace * tokens / DEFAULT_PROMPT_TOKENS_PER_SECOND;
     };
     let EngineTimes {
         step_ms,
@@ -69,7 +72,7 @@
     } = times;
     let batch = f64::from(profile.slots.max(1));
     let ms_per_token = (step_ms + step_ms_per_request * batch) / batch;
-    let reading = work.prompt_tokens / prompt_tokens_per_second.max(1.0);
+    let prompt_seconds = work.prompt_tokens / prompt_tokens_per_second.max(1.0);
     let tokens = work.expected_outputs() * f64::from(steps_per_event);
-    profile.pace * (reading + tokens * ms_per_token / 1_000.0)
+    profile.pace * (prompt_seconds + tokens * ms_per_token / 1_000.0)
 }
--- a/shalehinge/src/core/placement/shares.rs
+++ b/shalehinge/src/core/placement/shares.rs
@@ -35,8 +35,8 @@
     let mut counts: ReplicaCounts = profiles
         .iter()
         .map(|(model, profile)| {
-            let due = hosts as f64 * profile.work_share / total.max(f64::EPSILON);
-            let replicas = (due / f64::from(profile.hosts_per_replica.max(1))).floor();
+            let host_share = hosts as f64 * profile.work_share / total.max(f64::EPSILON);
+            let replicas = (host_share / f64::from(profile.hosts_per_replica.max(1))).floor();
             (model.clone(), (replicas as u32).max(1))
         })
         .collect();
@@ -62,13 +62,13 @@
     by_size.sort_by_key(|(_, profile)| profile.hosts_per_replica);
     for (model, _) in by_size {
         loop {
-            let mut more = counts.clone();
-            *more.entry(model.clone()).or_default() += 1;
-            let has_spares = hosts_of(profiles, &more) <= usable;
-            if !has_spares || !fit(profiles, &more, fabric_sizes) {
+            let mut increased = counts.clone();
+            *increased.entry(model.clone()).or_default() += 1;
+            let has_spares = total_hosts(profiles, &increased) <= usable;
+            if !has_spares || !fit(profiles, &increased, fabric_sizes) {
                 break;
             }
-            counts = more;
+            counts = increased;
         }
     }
     counts
@@ -84,37 +84,40 @@
 ) -> ReplicaCounts {
     let mut counts = wanted.clone();
     while !fit(profiles, &counts, fabric_sizes) {
-        let giver = richest(profiles, &counts, 1).or_else(|| richest(profiles, &counts, 0));
-        let Some(model) = giver else {
+        let donor = best_supplied_above(profiles, &counts, 1)
+            .or_else(|| best_supplied_above(profiles, &counts, 0));
+        let Some(model) = donor else {
             break;
         };
         *counts.entry(model).or_default() -= 1;
     }
-    for (model, most) in &wanted {
-        while counts[model] < *most {
-            let mut more = counts.clone();
-            *more.entry(model.clone()).or_default() += 1;
-            if !fit(profiles, &more, fabric_sizes) {
+    for (model, wanted_count) in &wanted {
+        while counts[model] < *wanted_count {
+            let mut increased = counts.clone();
+            *increased.entry(model.clone()).or_default() += 1;
+            if !fit(profiles, &increased, fabric_sizes) {
                 break;
             }
-            counts = more;
+            counts = increased;
         }
     }
     counts
 }
 
-/// The model with the highest supply among those with more than `least` replicas.
-fn richest(
+/// The model with the highest supply among those with more than `min_replicas` replicas.
+fn best_supplied_above(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
-    least: u32,
+    min_replicas: u32,
 ) -> Option<ModelName> {
-    let models = profiles.keys().filter(|model| counts[*model] > least);
-    most_spared(profiles, counts, models)
+    let models = profiles
+        .keys()
+        .filter(|model| counts[*model] > min_replicas);
+    best_supplied(profiles, counts, models)
 }
 
 /// The model with the highest supply among `models`.
-pub(super) fn most_spared<'a>(
+pub(super) fn best_supplied<'a>(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
     models: impl Iterator<Item = &'a ModelName>,
@@ -127,12 +130,12 @@
 
 /// Supply of a model: the ratio of the hosts of these replicas to the model's share of the work.
 pub(super) fn supply(replicas: u32, profile: &ModelProfile) -> f64 {
-    const LEAST_SHARE: f64 = 1e-3;
+    const MIN_WORK_SHARE: f64 = 1e-3;
     let hosts = f64::from(replicas * profile.hosts_per_replica);
-    hosts / profile.work_share.max(LEAST_SHARE)
+    hosts / profile.work_share.max(MIN_WORK_SHARE)
 }
 
-fn hosts_of(profiles: &BTreeMap<ModelName, ModelProfile>, counts: &ReplicaCounts) -> usize {
+fn total_hosts(profiles: &BTreeMap<ModelName, ModelProfile>, counts: &ReplicaCounts) -> usize {
     let hosts = |(model, count): (&ModelName, &u32)| profiles[model].hosts_per_replica * count;
     counts.iter().map(hosts).sum::<u32>() as usize
 }
@@ -153,10 +156,10 @@
     for size in sizes {
         let tightest = free
             .iter_mut()
-            .filter(|left| **left >= size)
-            .min_by_key(|left| **left);
+            .filter(|available| **available >= size)
+            .min_by_key(|available| **available);
         match tightest {
-            Some(left) => *left -= size,
+            Some(available) => *available -= size,
             None => return false,
         }
     }
--- a/shalehinge/src/core/placement/yielding.rs
+++ b/shalehinge/src/core/placement/yielding.rs
@@ -14,7 +14,7 @@
     /// Number of hosts in groups of its models.
     pub used: usize,
     /// Number of hosts that its share entitles it to.
-    pub due: f64,
+    pub entitled: f64,
 }
 
 /// Usage of each customer that owns models; `host_count` is the number of hosts that are divided.
@@ -41,41 +41,42 @@
     };
     let total: f64 = usage.keys().map(share_of).sum();
     for (customer, entry) in &mut usage {
-        entry.due = host_count as f64 * share_of(customer) / total;
+        entry.entitled = host_count as f64 * share_of(customer) / total;
     }
     usage
 }
 
-/// The group that should be given up for the model `wanting`, and the customer that gets its
-/// hosts. Returns `None` if the owner of `wanting` would exceed its share, or if no other
+/// The group that should be given up for the model `requesting`, and the customer that gets its
+/// hosts. Returns `None` if the owner of `requesting` would exceed its share, or if no other
 /// customer can give up a group and stay at or above its own.
 pub fn group_to_yield(
     fleet: &FleetConfig,
     assignment: &Assignment,
     host_count: usize,
-    wanting: &ModelName,
+    requesting: &ModelName,
 ) -> Option<(GroupNumber, Customer)> {
-    let intent = fleet.models.get(wanting)?;
+    let intent = fleet.models.get(requesting)?;
     let size = intent.hosts_per_replica as usize;
     let usage = usage(fleet, assignment, host_count);
-    let taker = usage.get(&intent.owner)?;
-    if (taker.used + size) as f64 > taker.due {
+    let recipient = usage.get(&intent.owner)?;
+    if (recipient.used + size) as f64 > recipient.entitled {
         return None;
     }
-    let giver = |number: &GroupNumber| -> Option<f64> {
+    let excess_of = |number: &GroupNumber| -> Option<f64> {
         let group = &assignment.groups[number];
         let owner = &fleet.models.get(&group.model)?.owner;
         let owner_usage = usage.get(owner)?;
         let size_fits = group.members.len() >= size;
-        let left = owner_usage.used.checked_sub(group.members.len())?;
-        let stays_above = left as f64 >= owner_usage.due;
+        let remaining = owner_usage.used.checked_sub(group.members.len())?;
+        let keeps_share = remaining as f64 >= owner_usage.entitled;
         let may_yield = group.phase == GroupPhase::Serving && *owner != intent.owner;
-        (may_yield && size_fits && stays_above).then_some(owner_usage.used as f64 - owner_usage.due)
+        (may_yield && size_fits && keeps_share)
+            .then_some(owner_usage.used as f64 - owner_usage.entitled)
     };
     assignment
         .groups
         .keys()
-        .filter_map(|number| giver(number).map(|excess| (excess, *number)))
+        .filter_map(|number| excess_of(number).map(|excess| (excess, *number)))
         .max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)))
         .map(|(_, number)| (number, intent.owner.clone()))
 }
--- a/shalehinge/tests/demand.rs
+++ b/shalehinge/tests/demand.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use shalehinge::core::demand::{Demand, FleetWork, ModelWork, WorkReport};
 use shalehinge::core::objects::{EngineTimes, ModelProfile};
-use shalehinge::core::placement::need::needs_of;
+use shalehinge::core::placement::replica_demand::estimate_demand;
 use shalehinge::core::types::{DaemonId, ModelName, ServiceName, Timestamp};
 
 const LARGE: &str = "large";
@@ -161,7 +161,7 @@
         ]),
         sampled_requests: 1_000.0,
     };
-    let needs = needs_of(&profiles(), &work).expect("enough was seen");
+    let needs = estimate_demand(&profiles(), &work).expect("enough was seen");
     assert!(about(needs[&model(LARGE)], 1.0), "{needs:?}");
     assert!(about(needs[&model(SMALL)], 0.5), "{needs:?}");
 }
@@ -172,9 +172,9 @@
         per_second: BTreeMap::from([(model(SMALL), work(10.0, 7_000.0, 300.0))]),
         sampled_requests: 50.0,
     };
-    assert_eq!(needs_of(&profiles(), &seen), None);
+    assert_eq!(estimate_demand(&profiles(), &seen), None);
     seen.sampled_requests = 500.0;
-    let needs = needs_of(&profiles(), &seen).expect("enough was seen");
+    let needs = estimate_demand(&profiles(), &seen).expect("enough was seen");
     assert!(needs[&model(LARGE)] > 0.0);
 }
 
@@ -191,7 +191,7 @@
         ]),
         sampled_requests: 500.0,
     };
-    let needs = needs_of(&profiles, &work).expect("enough was seen");
+    let needs = estimate_demand(&profiles, &work).expect("enough was seen");
     let ratio = needs[&model(SMALL)] / needs[&model(LARGE)];
     assert!(about(ratio, 2.0), "four times the tokens at half the pace");
 }
--- a/shalehinge/tests/placement.rs
+++ b/shalehinge/tests/placement.rs
@@ -46,9 +46,9 @@
 fn a_group_that_lost_a_member_is_dissolved_and_its_survivors_are_used_again() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     domain.lose("a1");
-    let steps = domain.settle();
+    let steps = domain.run_until_stable();
     assert_eq!(formed(&steps), [("m", vec!["a0", "a2", "a3", "a4"])]);
 }
 
@@ -56,7 +56,7 @@
 fn a_drained_host_is_replaced_before_its_group_retires() {
     let mut domain = Domain::new().fabric("a", 4).fabric("b", 4);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     let first = domain.members_of(0);
     domain.drain(&first[0]);
     let steps = domain.steps();
@@ -73,7 +73,7 @@
 fn a_drained_host_without_a_spare_retires_its_group_all_the_same() {
     let mut domain = Domain::new().fabric("a", 4);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     domain.drain("a2");
     assert_eq!(retired(&domain.steps()).len(), 1);
 }
@@ -82,7 +82,7 @@
 fn a_roll_takes_one_group_at_a_time_and_keeps_the_rest_serving() {
     let mut domain = Domain::new().fabric("a", 12);
     domain.want("m", 4, 3);
-    domain.settle();
+    domain.run_until_stable();
     domain.roll("m", "v2");
     let mut fewest = 3;
     for _ in 0..100 {
@@ -103,7 +103,7 @@
     let mut domain = Domain::new().fabric("a", 8);
     domain.want("large", 6, 1);
     domain.want("small", 2, 1);
-    domain.settle();
+    domain.run_until_stable();
     let mut domain = domain.fabric("b", 2);
     domain.lose("a0");
     let steps = domain.steps();
@@ -120,7 +120,7 @@
     assert!(is_moving, "{steps:?}");
     domain.apply(&steps);
     domain.finish_changes();
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 2);
 }
 
@@ -128,9 +128,9 @@
 fn a_dead_host_that_can_not_acknowledge_holds_up_nothing() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     domain.lose("a1");
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.releasing(), ["a1"]);
     assert_eq!(domain.count(GroupPhase::Serving), 1);
 }
@@ -140,7 +140,7 @@
     let mut domain = Domain::new().fabric("a", 8);
     domain.customer("one", 1).customer("other", 1);
     domain.want_for("one", "first", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want_for("other", "second", 4, 1);
     let steps = domain.steps();
     assert!(matches!(
@@ -149,7 +149,7 @@
     ));
     domain.apply(&steps);
     domain.finish_changes();
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 2);
 }
 
@@ -158,7 +158,7 @@
     let mut domain = Domain::new().fabric("a", 8);
     domain.customer("one", 3).customer("other", 1);
     domain.want_for("one", "first", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want_for("other", "second", 4, 1);
     assert_eq!(retired(&domain.steps()), []);
 }
@@ -172,7 +172,7 @@
         domain = domain.fabric(&format!("talca-a-fabric-{fabric:02}-host-"), 84);
     }
     domain.want("lector-llm", 8, 160);
-    domain.settle();
+    domain.run_until_stable();
     let (json, message_pack) = domain.assignment_sizes();
     println!("160 groups of 8: {json} bytes in JSON, {message_pack} in MessagePack");
 }
@@ -184,7 +184,7 @@
     domain.hold(&["large", "small"]);
     domain.want("large", 4, 1);
     domain.want("small", 2, 3);
-    domain.settle();
+    domain.run_until_stable();
     let members = domain.members_of(0);
     domain.lose(&members[1]);
     let steps = domain.steps();
@@ -203,7 +203,7 @@
     domain.finish_changes();
     let steps = domain.steps();
     assert_eq!(formed(&steps).len(), 1, "{steps:?}");
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 3);
 }
 
@@ -219,7 +219,7 @@
     let mut domain = large_group_without_a_spare();
     domain.want("small", 2, 3);
     domain.want("large", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     // All of one large and two of three small replicas exist: the small model does not justify
     // preempting the large group.
     assert_eq!(domain.steps(), []);
@@ -232,9 +232,9 @@
     domain.follows_shares = true;
     domain.hold(&["large", "small"]);
     domain.want("large", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want("small", 2, 3);
-    domain.settle();
+    domain.run_until_stable();
     domain.lose("a0");
     let steps = domain.steps();
     domain.apply(&steps);
@@ -245,7 +245,7 @@
 #[test]
 fn a_group_is_preempted_for_a_model_that_has_less_for_its_work() {
     let mut domain = one_of_two_large_groups_lost();
-    domain.needs = [("large", 3.0), ("small", 1.0)]
+    domain.replica_demand = [("large", 3.0), ("small", 1.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
         .into();
     assert_eq!(retired(&domain.steps()).len(), 1);
@@ -259,7 +259,7 @@
         1,
         "preempted when compared by wanted replicas"
     );
-    domain.needs = [("large", 0.5), ("small", 3.0)]
+    domain.replica_demand = [("large", 0.5), ("small", 3.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
         .into();
     assert_eq!(retired(&domain.steps()), []);
@@ -292,7 +292,7 @@
     domain.follows_shares = true;
     domain.hold(&["large", "small"]);
     domain.want("large", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.silence("a1");
     domain.want("large", 4, 1);
     domain.want("small", 2, 1);
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -7,9 +7,9 @@
     ModelIntent,
 };
 use shalehinge::core::placement::host_choice::HostChoice;
-use shalehinge::core::placement::need::Needs;
 use shalehinge::core::placement::planner::HeldWeights;
 use shalehinge::core::placement::preview::apply_step;
+use shalehinge::core::placement::replica_demand::ReplicaDemand;
 use shalehinge::core::placement::{PlacementContext, PlacementStep, next_steps};
 use shalehinge::core::types::{
     Customer, FabricDomain, FailureDomain, GroupNumber, HostId, ModelName, ModelVersion,
@@ -26,7 +26,7 @@
     pub follows_shares: bool,
     pub held: HeldWeights,
     /// Replicas that the workload of each model keeps busy; empty if unknown.
-    pub needs: Needs,
+    pub replica_demand: ReplicaDemand,
 }
 
 impl Domain {
@@ -40,7 +40,7 @@
             lost: BTreeMap::new(),
             follows_shares: false,
             held: HeldWeights::new(),
-            needs: Needs::new(),
+            replica_demand: ReplicaDemand::new(),
         };
         domain.customer("all", 1);
         domain
@@ -143,8 +143,8 @@
             choice: HostChoice::BestFit,
             max_forming: 8,
             max_loads: usize::MAX,
-            keeps_surplus: self.follows_shares,
-            needs: &self.needs,
+            keep_surplus: self.follows_shares,
+            replica_demand: &self.replica_demand,
         })
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Applies and completes steps until the planner returns none. Returns all steps.
-    pub fn settle(&mut self) -> Vec<PlacementStep> {
+    pub fn run_until_stable(&mut self) -> Vec<PlacementStep> {
         let mut all = Vec::new();
         for _ in 0..50 {
             let steps = self.steps();
--- a/shalehinge/tests/shares.rs
+++ b/shalehinge/tests/shares.rs
@@ -33,7 +33,7 @@
 fn domains(fabrics: &[&[usize]]) -> Domains {
     let hosts = |sizes: &[usize]| DomainHosts {
         fabric_sizes: sizes.to_vec(),
-        standing: BTreeMap::new(),
+        existing: BTreeMap::new(),
     };
     let named = fabrics.iter().enumerate();
     named
@@ -73,8 +73,8 @@
         shares[&FailureDomain::new(domain)].counts[&ModelName::new(model)]
     };
     assert_eq!((count("d0", "large"), count("d0", "small")), (5, 10));
-    assert!(shares[&FailureDomain::new("d2")].is_narrow);
-    assert!(!shares[&FailureDomain::new("d0")].is_narrow);
+    assert!(shares[&FailureDomain::new("d2")].is_undersized);
+    assert!(!shares[&FailureDomain::new("d0")].is_undersized);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let mut fleet = domains(&[&[10][..]; 5]);
     for domain in ["d3", "d4"] {
         let hosts = fleet.get_mut(&FailureDomain::new(domain)).expect("known");
-        hosts.standing.insert(ModelName::new("large"), 1);
+        hosts.existing.insert(ModelName::new("large"), 1);
     }
     for other in ["d0", "d1"] {
         let hosts = fleet.get_mut(&FailureDomain::new(other)).expect("known");
@@ -117,7 +117,7 @@
     let profiles = profiles(&[("large", 8), ("small", 4)]);
     let mut fleet = domains(&[&[10], &[10], &[10]]);
     for hosts in fleet.values_mut() {
-        hosts.standing.insert(ModelName::new("small"), 2);
+        hosts.existing.insert(ModelName::new("small"), 2);
     }
     let shares = fleet_shares(&profiles, &fleet, 0.0);
     assert_eq!(
@@ -125,7 +125,7 @@
         (1, 4)
     );
     let hosts = fleet.get_mut(&FailureDomain::new("d1")).expect("known");
-    hosts.standing = BTreeMap::from([(ModelName::new("large"), 1)]);
+    hosts.existing = BTreeMap::from([(ModelName::new("large"), 1)]);
     let shares = fleet_shares(&profiles, &fleet, 0.0);
     assert_eq!(domains_with(&shares, "large"), ["d1"]);
 }
--- a/standin/benches/decisions.rs
+++ b/standin/benches/decisions.rs
@@ -11,9 +11,9 @@
 use shalehinge::core::fingerprint::Fingerprint;
 use shalehinge::core::objects::{Assignment, PlacementWeights};
 use shalehinge::core::placement::host_choice::HostChoice;
-use shalehinge::core::placement::need::NO_NEEDS;
 use shalehinge::core::placement::planner::HeldWeights;
 use shalehinge::core::placement::preview::apply_step;
+use shalehinge::core::placement::replica_demand::UNKNOWN_DEMAND;
 use shalehinge::core::placement::{PlacementContext, next_steps};
 use shalehinge::core::router::request::{AttemptEnd, RequestMeta, Target};
 use shalehinge::core::router::{Router, RouterAction};
@@ -151,8 +151,8 @@
             choice: HostChoice::BestFit,
             max_forming: usize::MAX,
             max_loads: usize::MAX,
-            keeps_surplus: false,
-            needs: &NO_NEEDS,
+            keep_surplus: false,
+            replica_demand: &UNKNOWN_DEMAND,
         })
     });
 }
@@ -174,8 +174,8 @@
             choice: HostChoice::BestFit,
             max_forming: usize::MAX,
             max_loads: usize::MAX,
-            keeps_surplus: false,
-            needs: &NO_NEEDS,
+            keep_surplus: false,
+            replica_demand: &UNKNOWN_DEMAND,
         })
     };
     for step in context(&assignment) {
--- a/standin/src/experiment/day.rs
+++ b/standin/src/experiment/day.rs
@@ -13,9 +13,9 @@
     ModelIntent, PlacementWeights,
 };
 use shalehinge::core::placement::host_choice::HostChoice;
-use shalehinge::core::placement::need::NO_NEEDS;
 use shalehinge::core::placement::planner::HeldWeights;
 use shalehinge::core::placement::preview::apply_step;
+use shalehinge::core::placement::replica_demand::UNKNOWN_DEMAND;
 use shalehinge::core::placement::stranded::stranded_accelerators;
 use shalehinge::core::placement::{PlacementContext, PlacementStep, next_steps};
 use shalehinge::core::types::{
@@ -322,8 +322,8 @@
                 choice: self.spec.choice,
                 max_forming: 1_000,
                 max_loads: usize::MAX,
-                keeps_surplus: false,
-                needs: &NO_NEEDS,
+                keep_surplus: false,
+                replica_demand: &UNKNOWN_DEMAND,
             };
             let steps = next_steps(&context);
             if steps.is_empty() {
