--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -285,14 +285,14 @@
     ),
     "trials-of-a-model-wait": (
         CORE + "controller/load_crashes.rs",
-        "let wait = wait_after(record.crashes);",
-        "let wait = wait_after(record.crashes.min(1));",
+        "let wait = backoff_after(record.crashes);",
+        "let wait = backoff_after(record.crashes.min(1));",
         "crashing_models", "ever_more_rarely",
     ),
     "one-engine-tries-a-model": (
         CORE + "controller/load_crashes.rs",
-        "trying != host && now",
-        "trying != host && false && now",
+        "attempting != host && now",
+        "attempting != host && false && now",
         "crashing_models", "costs_one_engine",
     ),
     "a-load-that-succeeds-ends-it": (
@@ -309,7 +309,7 @@
     ),
     "a-list-newer-than-what-is-foreign": (
         CORE + "controller/mod.rs",
-        "            if !self.knows_what_stands() {\n                return (None, log);\n            }\n",
+        "            if !self.shows_running_groups() {\n                return (None, log);\n            }\n",
         "",
         "adoption", "orders_nothing",
     ),
@@ -364,13 +364,13 @@
     ),
     "silence-only-while-others-answer": (
         CORE + "controller/ordered.rs",
-        "if !self.own_reach.trusts_silence(asked_at) {",
-        "if false && !self.own_reach.trusts_silence(asked_at) {",
+        "if !self.own_connectivity.trusts_silence(asked_at) {",
+        "if false && !self.own_connectivity.trusts_silence(asked_at) {",
         "ordered", "a_holder_that",
     ),
     "most-must-answer": (
-        CORE + "controller/own_reach.rs",
-        "self.answered * 4 >= self.asked * 3",
+        CORE + "controller/own_connectivity.rs",
+        "self.answered * 4 >= self.probed * 3",
         "self.answered > 0",
         "ordered", "few_hosts_answer",
     ),
@@ -625,7 +625,7 @@
     ),
     "silent-head": (
         CORE + "controller/departures.rs",
-        "self.has_left(head, number) || stands_long", "{ let _ = stands_long; true }",
+        "self.has_left(rank_zero, number) || has_stalled", "{ let _ = has_stalled; true }",
         "ordered", "silent_rank_zero",
     ),
     "list-age": (
@@ -650,7 +650,7 @@
     ),
     "unanswered-order": (
         CORE + "controller/mod.rs",
-        "self.doubt(now, host);", "self.on_no_status(now, asked_at, host);",
+        "self.schedule_probe(now, host);", "self.on_no_status(now, asked_at, host);",
         "ordered", "ends_no_group",
     ),
     "lost-told": (
@@ -687,7 +687,7 @@
     ),
     "lapsed-entries": (
         CORE + "controller/ordered.rs",
-        " && !self.list_outage.may_return()", "",
+        " && !self.list_outage.entries_may_reappear()", "",
         "ordered", "just_after_an_outage",
     ),
     "timely-first": (
--- a/shalehinge/src/core/controller/adoption.rs
+++ b/shalehinge/src/core/controller/adoption.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::list_outage::RETURN_WAIT;
+use super::list_outage::RECOVERY_WAIT;
 use super::service_plan::ONLY_VERSION;
 use super::{Controller, ListedHost};
 use crate::core::engine::EngineStatus;
@@ -21,7 +21,7 @@
 /// Number of group numbers above the highest listed one that are skipped, because they may have
 /// been used. This is far more than the number of groups that a failure domain starts between two
 /// host lists, and unused numbers cost nothing.
-pub(super) const NUMBERS_UNSEEN: u64 = 1_000;
+pub(super) const GROUP_NUMBER_MARGIN: u64 = 1_000;
 
 /// Origin of an assignment that was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     Current,
     /// Restored from a backup: older than the current era of the store, so later changes are
     /// lost.
-    Copy,
+    Restored,
     /// Overwritten by another program, in a format that this daemon cannot decode.
     Foreign,
 }
@@ -39,26 +39,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Current => "current",
-            Self::Copy => "restored from a backup",
+            Self::Restored => "restored from a backup",
             Self::Foreign => "not readable",
         })
     }
 }
 
-type Shown<'a> = Vec<(&'a HostId, &'a ListedHost)>;
+type ShownHosts<'a> = Vec<(&'a HostId, &'a ListedHost)>;
 
 impl Controller {
     /// Whether running groups are adopted from the host list before anything else is decided.
     /// Only engines that join by order report their groups in the list.
-    pub(super) fn adopts(&self) -> bool {
+    pub(super) fn must_adopt(&self) -> bool {
         self.origin != Origin::Current && self.settings.assembly == Assembly::Orders
     }
 
     /// Whether the host list is recent enough to show the running groups. After a restore, hosts
     /// need some time to write their entries again.
-    pub(super) fn knows_what_stands(&self) -> bool {
+    pub(super) fn shows_running_groups(&self) -> bool {
         let wait = match self.origin {
-            Origin::Copy => RETURN_WAIT,
+            Origin::Restored => RECOVERY_WAIT,
             Origin::Current | Origin::Foreign => Duration::ZERO,
         };
         let seen_at = self.stored_seen_at;
@@ -67,8 +67,12 @@
 
     /// Merges the running groups into the stored assignment; where both disagree, the host list
     /// takes precedence.
-    pub(super) fn taken_over(&self, stored: Assignment, state: &FleetState) -> Assignment {
-        let shown = self.adopted(state);
+    pub(super) fn merge_running_groups(
+        &self,
+        stored: Assignment,
+        state: &FleetState,
+    ) -> Assignment {
+        let shown = self.listed_groups(state);
         let mut value = stored;
         let is_shown = |host: &HostId| shown.groups.values().any(|group| group.contains(host));
         value.groups.retain(|number, group| {
@@ -90,36 +94,40 @@
     }
 
     /// The assignment that follows from the host list alone.
-    fn adopted(&self, state: &FleetState) -> Assignment {
-        let mut by_group: BTreeMap<GroupNumber, Shown<'_>> = BTreeMap::new();
+    fn listed_groups(&self, state: &FleetState) -> Assignment {
+        let mut by_group: BTreeMap<GroupNumber, ShownHosts<'_>> = BTreeMap::new();
         for (host, listed) in self.listed.iter().filter(|(_, listed)| listed.is_listed) {
             if let Some(number) = status_of(listed).and_then(|status| status.group) {
                 by_group.entry(number).or_default().push((host, listed));
             }
         }
         let highest = by_group.keys().next_back().map_or(0, |number| number.0);
-        let whole = by_group
+        let complete = by_group
             .into_iter()
             .filter(|(number, _)| *number != GroupNumber::PRIMING)
-            .filter_map(|(number, shown)| Some((number, whole_group(number, shown, state)?)));
+            .filter_map(|(number, shown)| Some((number, complete_group(number, shown, state)?)));
         Assignment {
-            next_group: GroupNumber(highest + NUMBERS_UNSEEN),
-            groups: whole.collect(),
+            next_group: GroupNumber(highest + GROUP_NUMBER_MARGIN),
+            groups: complete.collect(),
             ..Assignment::default()
         }
     }
 }
 
 /// The group that these hosts report, if its rank 0 takes requests and no member is missing.
-fn whole_group(number: GroupNumber, mut shown: Shown<'_>, state: &FleetState) -> Option<Group> {
-    let is_head = |listed: &ListedHost| status_of(listed).is_some_and(|s| s.shows_open(number));
+fn complete_group(
+    number: GroupNumber,
+    mut shown: ShownHosts<'_>,
+    state: &FleetState,
+) -> Option<Group> {
+    let is_open = |listed: &ListedHost| status_of(listed).is_some_and(|s| s.shows_open(number));
     let is_ready = |listed: &ListedHost| status_of(listed).is_some_and(|s| s.shows_ready(number));
-    shown.sort_by_key(|(host, listed)| (!is_head(listed), *host));
-    let (_, head) = shown.first()?;
-    let model = status_of(head)?.held.as_ref()?.model.clone();
-    let is_whole = shown.len() == hosts_of(&model, state)?;
-    let serves = is_head(head) && shown.iter().all(|(_, listed)| is_ready(listed));
-    (is_whole && serves).then(|| Group {
+    shown.sort_by_key(|(host, listed)| (!is_open(listed), *host));
+    let (_, rank_zero) = shown.first()?;
+    let model = status_of(rank_zero)?.held.as_ref()?.model.clone();
+    let is_complete = shown.len() == hosts_per_replica_of(&model, state)?;
+    let serves = is_open(rank_zero) && shown.iter().all(|(_, listed)| is_ready(listed));
+    (is_complete && serves).then(|| Group {
         model,
         version: ModelVersion::new(ONLY_VERSION),
         members: shown.into_iter().map(member).collect(),
@@ -139,7 +147,7 @@
 }
 
 /// Number of hosts of a replica, according to the configuration.
-fn hosts_of(model: &ModelName, state: &FleetState) -> Option<usize> {
+fn hosts_per_replica_of(model: &ModelName, state: &FleetState) -> Option<usize> {
     let profile = state.fleet()?.value.profiles.get(model)?;
     Some(profile.hosts_per_replica as usize)
 }
--- a/shalehinge/src/core/controller/calls.rs
+++ b/shalehinge/src/core/controller/calls.rs
@@ -33,16 +33,16 @@
     }
 
     /// Whether a host may be called now for this purpose. Records the call if so.
-    fn is_due(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
-        let due = self
+    fn try_call(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
+        let is_due = self
             .next_call_at
             .get(host)
             .is_none_or(|(last, at)| *last != purpose || now >= *at);
-        if due {
+        if is_due {
             let next = now + self.call_interval(now, purpose);
             self.next_call_at.insert(host.clone(), (purpose, next));
         }
-        due
+        is_due
     }
 
     /// Interval between calls for a purpose. A group that appears incomplete is probed as often
@@ -90,7 +90,7 @@
     ) {
         let members: Vec<Address> = group.members.iter().map(|m| m.address).collect();
         for (rank, member) in group.members.iter().enumerate() {
-            if !self.is_due(now, &member.host, CallPurpose::Load(number)) {
+            if !self.try_call(now, &member.host, CallPurpose::Load(number)) {
                 continue;
             }
             let command = Command::Load(LoadCommand {
@@ -114,10 +114,10 @@
         let Some(rank_zero) = group.members.first() else {
             return;
         };
-        if self.is_due(now, &rank_zero.host, CallPurpose::Probe(number)) {
+        if self.try_call(now, &rank_zero.host, CallPurpose::Probe(number)) {
             actions.push(ControllerAction::Probe {
                 group: number,
-                rank_zero: rank_zero.clone(),
+                member: rank_zero.clone(),
             });
         }
     }
@@ -139,7 +139,7 @@
             return;
         };
         if !self.has_left(&rank_zero.host, number) {
-            if self.is_due(now, &rank_zero.host, CallPurpose::Release(number)) {
+            if self.try_call(now, &rank_zero.host, CallPurpose::Release(number)) {
                 let command = Command::Release { drain: true };
                 actions.push(self.order(epoch, number, rank_zero, command));
             }
@@ -147,7 +147,7 @@
         }
         for member in others {
             let purpose = CallPurpose::Release(number);
-            if !self.has_left(&member.host, number) && self.is_due(now, &member.host, purpose) {
+            if !self.has_left(&member.host, number) && self.try_call(now, &member.host, purpose) {
                 let command = Command::Release { drain: false };
                 actions.push(self.order(epoch, number, member, command));
             }
@@ -170,7 +170,7 @@
             let Some(address) = self.addresses.get(&host).copied() else {
                 continue;
             };
-            if self.is_due(now, &host, CallPurpose::Release(number)) {
+            if self.try_call(now, &host, CallPurpose::Release(number)) {
                 let member = Member { host, address };
                 let command = Command::Release { drain: false };
                 actions.push(self.order(epoch, number, &member, command));
--- a/shalehinge/src/core/controller/departures.rs
+++ b/shalehinge/src/core/controller/departures.rs
@@ -21,8 +21,8 @@
         actions: &mut Vec<ControllerAction>,
     ) {
         let purpose = CallPurpose::Leave(number);
-        if !self.has_left(&member.host, number) && self.is_due_again(now, &member.host, purpose) {
-            self.note_call(now, &member.host, purpose);
+        if !self.has_left(&member.host, number) && self.is_call_due(now, &member.host, purpose) {
+            self.record_call(now, &member.host, purpose);
             let command = Command::Release { drain: false };
             actions.push(self.order(epoch, number, member, command));
         }
@@ -48,7 +48,7 @@
                 leaving.push((member, *number));
             }
         }
-        for (host, number) in self.strays(value) {
+        for (host, number) in self.hosts_in_removed_groups(value) {
             if number == GroupNumber::PRIMING && !self.is_primed(&host) {
                 continue;
             }
@@ -62,7 +62,7 @@
 
     /// Hosts without a group in the assignment that the list shows in one, if the list is recent
     /// enough to be sure that the group no longer exists. They are ordered to leave it.
-    fn strays(&self, value: &Assignment) -> BTreeMap<HostId, GroupNumber> {
+    fn hosts_in_removed_groups(&self, value: &Assignment) -> BTreeMap<HostId, GroupNumber> {
         if self.trusts_absence() {
             self.shown_in_a_group(value)
         } else {
@@ -91,26 +91,26 @@
 
     /// Frees hosts of dissolved groups once they have left and the rank 0 of their group is known
     /// to have stopped serving.
-    pub(super) fn take_departures(&mut self, now: Timestamp, value: &mut Assignment) {
+    pub(super) fn free_departed_hosts(&mut self, now: Timestamp, value: &mut Assignment) {
         for (host, number) in &value.releasing {
-            let is_head = value.heads.get(number) == Some(host);
-            if !is_head && self.has_left(host, *number) {
-                self.standing_since.entry(*number).or_insert(now);
+            let is_rank_zero = value.heads.get(number) == Some(host);
+            if !is_rank_zero && self.has_left(host, *number) {
+                self.stalled_since.entry(*number).or_insert(now);
             }
         }
-        let done: BTreeSet<GroupNumber> = value
+        let stopped: BTreeSet<GroupNumber> = value
             .heads
             .iter()
-            .filter(|(number, head)| self.serves_no_more(now, **number, head))
+            .filter(|(number, rank_zero)| self.has_stopped_serving(now, **number, rank_zero))
             .map(|(number, _)| *number)
             .collect();
-        let (left, heads) = (&self.released, &value.heads);
+        let (released, heads) = (&self.released, &value.heads);
         let listed = &self.listed;
         value.releasing.retain(|host, number| {
-            let has_head = heads.contains_key(number);
-            let is_settled = !has_head || done.contains(number);
+            let has_rank_zero = heads.contains_key(number);
+            let is_settled = !has_rank_zero || stopped.contains(number);
             let is_gone = !listed.get(host).is_some_and(|listed| listed.is_listed);
-            let has_left = left.get(host) == Some(number);
+            let has_left = released.get(host) == Some(number);
             !(is_settled && (has_left || is_gone))
         });
         let releasing = &value.releasing;
@@ -118,7 +118,7 @@
             .heads
             .retain(|number, _| releasing.values().any(|other| other == number));
         let heads = &value.heads;
-        self.standing_since
+        self.stalled_since
             .retain(|number, _| heads.contains_key(number));
     }
 
@@ -142,11 +142,11 @@
 
     /// Whether rank 0 of a dissolved group has left it, or has been stalled since the other
     /// members left for so long that it is considered broken.
-    fn serves_no_more(&self, now: Timestamp, number: GroupNumber, head: &HostId) -> bool {
-        let stands_long = self
-            .standing_since
+    fn has_stopped_serving(&self, now: Timestamp, number: GroupNumber, rank_zero: &HostId) -> bool {
+        let has_stalled = self
+            .stalled_since
             .get(&number)
             .is_some_and(|since| now.since(*since) >= self.settings.stall);
-        self.has_left(head, number) || stands_long
+        self.has_left(rank_zero, number) || has_stalled
     }
 }
--- a/shalehinge/src/core/controller/load_crashes.rs
+++ b/shalehinge/src/core/controller/load_crashes.rs
@@ -18,61 +18,61 @@
 /// Engine restarts within this time count as one crash. The engines of a group are ordered to
 /// load within a shorter time, and hosts that lose power together are listed again within a
 /// shorter time.
-const SAME_CRASH: Duration = Duration::from_secs(1);
+const CRASH_WINDOW: Duration = Duration::from_secs(1);
 /// Number of consecutive crashes from which on only one engine at a time loads the model.
-const ONE_AT_A_TIME_AFTER: u32 = 2;
+const SERIALIZE_AFTER: u32 = 2;
 /// Number of consecutive crashes from which on loads of the model wait.
-const WAIT_AFTER: u32 = 3;
+const BACKOFF_AFTER: u32 = 3;
 /// First wait, doubled with each further crash. Most loads take longer than that.
-const FIRST_WAIT: Duration = Duration::from_secs(10);
+const MIN_BACKOFF: Duration = Duration::from_secs(10);
 /// Longest wait. It limits the cost to about twelve crashes per hour, and after the model is
 /// fixed it is loaded again within five minutes.
-const LONGEST_WAIT: Duration = Duration::from_secs(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
 /// How long an attempt prevents other engines from loading the model if its result is not
 /// observed. Twice the longest load of the models so far.
-const TRIAL_TIME: Duration = Duration::from_secs(40);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(40);
 
 #[derive(Clone, Debug)]
-struct Record {
+struct CrashRecord {
     /// Number of crashes without a successful load in between.
     crashes: u32,
     /// Time at which the last crash was first observed.
     crashed_at: Timestamp,
     next_load_at: Timestamp,
-    trial: Option<(HostId, Timestamp)>,
+    attempt: Option<(HostId, Timestamp)>,
 }
 
 /// Consecutive crashes by the model that was being loaded.
 #[derive(Clone, Debug, Default)]
 pub struct LoadCrashes {
-    models: BTreeMap<ModelName, Record>,
+    models: BTreeMap<ModelName, CrashRecord>,
 }
 
 impl LoadCrashes {
     /// Records that an engine restarted after it was ordered to load the model. Returns the
     /// number of consecutive crashes and how long loads of the model wait, or `None` if the
     /// restart belongs to a crash that was already recorded.
-    pub fn note_crash(&mut self, now: Timestamp, model: &ModelName) -> Option<(u32, Duration)> {
-        let record = self.models.entry(model.clone()).or_insert(Record {
+    pub fn record_crash(&mut self, now: Timestamp, model: &ModelName) -> Option<(u32, Duration)> {
+        let record = self.models.entry(model.clone()).or_insert(CrashRecord {
             crashes: 0,
             crashed_at: Timestamp::ZERO,
             next_load_at: Timestamp::ZERO,
-            trial: None,
+            attempt: None,
         });
-        record.trial = None;
-        let is_same = record.crashes > 0 && now.since(record.crashed_at) < SAME_CRASH;
-        if is_same {
+        record.attempt = None;
+        let is_same_crash = record.crashes > 0 && now.since(record.crashed_at) < CRASH_WINDOW;
+        if is_same_crash {
             return None;
         }
         record.crashes += 1;
         record.crashed_at = now;
-        let wait = wait_after(record.crashes);
+        let wait = backoff_after(record.crashes);
         record.next_load_at = now + wait;
         Some((record.crashes, wait))
     }
 
     /// Records that an engine loaded the model successfully.
-    pub fn note_loaded(&mut self, model: &ModelName) {
+    pub fn record_loaded(&mut self, model: &ModelName) {
         self.models.remove(model);
     }
 
@@ -81,30 +81,29 @@
         let Some(record) = self.models.get(model) else {
             return true;
         };
-        if record.crashes < ONE_AT_A_TIME_AFTER {
+        if record.crashes < SERIALIZE_AFTER {
             return true;
         }
-        let is_others = record
-            .trial
-            .as_ref()
-            .is_some_and(|(trying, since)| trying != host && now.since(*since) < TRIAL_TIME);
-        now >= record.next_load_at && !is_others
+        let is_attempted_elsewhere = record.attempt.as_ref().is_some_and(|(attempting, since)| {
+            attempting != host && now.since(*since) < ATTEMPT_TIMEOUT
+        });
+        now >= record.next_load_at && !is_attempted_elsewhere
     }
 
     /// Records that the engine of a host is ordered to load the model.
-    pub fn note_order(&mut self, now: Timestamp, model: &ModelName, host: &HostId) {
+    pub fn record_attempt(&mut self, now: Timestamp, model: &ModelName, host: &HostId) {
         if let Some(record) = self.models.get_mut(model) {
-            record.trial = Some((host.clone(), now));
+            record.attempt = Some((host.clone(), now));
         }
     }
 }
 
-fn wait_after(crashes: u32) -> Duration {
+fn backoff_after(crashes: u32) -> Duration {
     /// Sufficient to reach the longest wait.
-    const MOST_DOUBLINGS: u32 = 10;
-    let Some(doublings) = crashes.checked_sub(WAIT_AFTER) else {
+    const MAX_DOUBLINGS: u32 = 10;
+    let Some(doublings) = crashes.checked_sub(BACKOFF_AFTER) else {
         return Duration::ZERO;
     };
-    let wait = FIRST_WAIT * 2_u32.pow(doublings.min(MOST_DOUBLINGS));
-    wait.min(LONGEST_WAIT)
+    let wait = MIN_BACKOFF * 2_u32.pow(doublings.min(MAX_DOUBLINGS));
+    wait.min(MAX_BACKOFF)
 }
--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -10,7 +10,7 @@
 //! - `ordered_plan`: the next assignment for these engines
 //! - `reported`: the next assignment for engines that report their progress
 //! - `reachability`: hosts that this daemon cannot reach, for engines that join by order
-//! - `own_reach`: whether a missing answer is evidence against the host or against this daemon
+//! - `own_connectivity`: whether a missing answer is evidence against the host or against this daemon
 //! - `service_plan`: replica counts derived from the models' work shares
 //! - `departures`: hosts that leave groups, and when other groups may use them
 //! - `staging`: weights of a second model on every host
@@ -26,14 +26,14 @@
 mod load_crashes;
 mod ordered;
 mod ordered_plan;
-mod own_reach;
+mod own_connectivity;
 mod reachability;
 mod reported;
 mod service_plan;
 mod staging;
 
 pub use adoption::Origin;
-pub use ordered::Listing;
+pub use ordered::HostListState;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -50,12 +50,12 @@
 };
 use crate::settings::control::{Assembly, ControlSettings};
 
-use adoption::NUMBERS_UNSEEN;
+use adoption::GROUP_NUMBER_MARGIN;
 use list_outage::ListOutage;
 use load_budget::LoadBudget;
 use load_crashes::LoadCrashes;
 use ordered::ListedHost;
-use own_reach::OwnReach;
+use own_connectivity::OwnConnectivity;
 use service_plan::ServicePlans;
 
 /// Action that the controller requests from the daemon.
@@ -85,12 +85,12 @@
         /// whether the host is reachable.
         group: GroupNumber,
         /// Host to probe: rank 0 of the group or, where engines join by order, any host.
-        rank_zero: Member,
+        member: Member,
     },
     /// Asks routers which replicas of the failure domain currently produce output.
-    AskMoving,
+    AskRecentOutput,
     /// Notifies all routers that a group has lost a member and is stalled.
-    TellLost(GroupNumber),
+    NotifyLost(GroupNumber),
     /// Writes a line to the decision log.
     Log(String),
 }
@@ -116,13 +116,13 @@
     is_lost: bool,
     /// A probe showed the loss, so the group no longer makes progress. A group that only
     /// disappeared from the host list may still finish its requests.
-    stands_still: bool,
+    is_stalled: bool,
     /// The routers were notified that the group is stalled.
-    is_told: bool,
+    is_notified: bool,
     /// Until when the group is probed often, after a router reported that it is stalled.
     suspect_until: Option<Timestamp>,
     /// Latest time at which a router is known to have received output of the group.
-    moved_at: Option<Timestamp>,
+    last_output_at: Option<Timestamp>,
     /// The first member that left a probe unanswered.
     silent_member: Option<HostId>,
     /// Number of consecutive refusals of orders for the group.
@@ -132,9 +132,9 @@
 impl GroupHealth {
     /// Marks the group as lost because a probe, or a restart of the engine, shows that this
     /// member is gone.
-    fn lose(&mut self, member: &HostId) {
+    fn mark_lost(&mut self, member: &HostId) {
         self.is_lost = true;
-        self.stands_still = true;
+        self.is_stalled = true;
         self.lost_member = Some(member.clone());
     }
 
@@ -161,10 +161,10 @@
     health: BTreeMap<GroupNumber, GroupHealth>,
     unreachable: BTreeMap<HostId, Timestamp>,
     /// Hosts that left an order or a probe unanswered, with the time of their next probe.
-    doubted: BTreeMap<HostId, Timestamp>,
-    own_reach: OwnReach,
+    next_probe_at: BTreeMap<HostId, Timestamp>,
+    own_connectivity: OwnConnectivity,
     /// Log lines for decisions made between two ticks.
-    remarks: Vec<String>,
+    log_lines: Vec<String>,
     /// Time at which each host last answered an order or a probe.
     answered_at: BTreeMap<HostId, Timestamp>,
     next_call_at: BTreeMap<HostId, (CallPurpose, Timestamp)>,
@@ -174,15 +174,15 @@
     addresses: BTreeMap<HostId, Address>,
     /// Time at which this daemon first read the assignment.
     stored_seen_at: Option<Timestamp>,
-    listing: Listing,
+    list_state: HostListState,
     listed: BTreeMap<HostId, ListedHost>,
     listed_version: Version,
     /// Kept while no lease is held, because an outage of the platform ends the lease.
     list_outage: ListOutage,
     /// Time at which a new host last appeared in the list.
-    hosts_came_at: Option<Timestamp>,
+    last_host_added_at: Option<Timestamp>,
     /// Time since which rank 0 of a dissolved group cannot make progress, because a member left.
-    standing_since: BTreeMap<GroupNumber, Timestamp>,
+    stalled_since: BTreeMap<GroupNumber, Timestamp>,
     plans: ServicePlans,
     /// Replicas that the arriving work keeps busy; empty while too little work was sampled.
     replica_demand: ReplicaDemand,
@@ -190,8 +190,8 @@
     logged_demand: ReplicaDemand,
     /// Whether a member of a suspected group became silent since routers were last asked which
     /// groups produce output.
-    asks_moving: bool,
-    loads: LoadBudget,
+    asks_recent_output: bool,
+    load_budget: LoadBudget,
     /// Kept while no lease is held, because crashes do not depend on the assignment.
     load_crashes: LoadCrashes,
     /// The model of the last group of each host, as far as this daemon observed it.
@@ -222,26 +222,26 @@
             released: BTreeMap::new(),
             health: BTreeMap::new(),
             unreachable: BTreeMap::new(),
-            doubted: BTreeMap::new(),
-            own_reach: OwnReach::default(),
-            remarks: Vec::new(),
+            next_probe_at: BTreeMap::new(),
+            own_connectivity: OwnConnectivity::default(),
+            log_lines: Vec::new(),
             answered_at: BTreeMap::new(),
             next_call_at: BTreeMap::new(),
             retiring_since: BTreeMap::new(),
             forming_since: BTreeMap::new(),
             addresses: BTreeMap::new(),
             stored_seen_at: None,
-            listing: Listing::default(),
+            list_state: HostListState::default(),
             listed: BTreeMap::new(),
             listed_version: Version::NONE,
             list_outage: ListOutage::default(),
-            hosts_came_at: None,
-            standing_since: BTreeMap::new(),
+            last_host_added_at: None,
+            stalled_since: BTreeMap::new(),
             plans: ServicePlans::default(),
             replica_demand: ReplicaDemand::new(),
             logged_demand: ReplicaDemand::new(),
-            asks_moving: false,
-            loads: LoadBudget::default(),
+            asks_recent_output: false,
+            load_budget: LoadBudget::default(),
             load_crashes: LoadCrashes::default(),
             last_model: BTreeMap::new(),
             departed: BTreeSet::new(),
@@ -263,40 +263,40 @@
         now: Timestamp,
         epoch: Option<Epoch>,
         state: &FleetState,
-        listing: Listing,
+        list_state: HostListState,
         operation: OperationId,
     ) -> Vec<ControllerAction> {
         self.list_outage
-            .note(listing.as_of, self.settings.host_heartbeat);
+            .update(list_state.as_of, self.settings.host_heartbeat);
         let Some(epoch) = epoch else {
-            self.resign();
+            self.reset();
             return Vec::new();
         };
         if self.epoch != Some(epoch) {
-            self.resign();
+            self.reset();
             self.epoch = Some(epoch);
         }
-        self.note_hosts(now, state, listing);
-        let mut actions = self.tell_lost();
-        let remarks = std::mem::take(&mut self.remarks);
-        actions.extend(remarks.into_iter().map(ControllerAction::Log));
-        if std::mem::take(&mut self.asks_moving) {
-            actions.push(ControllerAction::AskMoving);
+        self.update_hosts(now, state, list_state);
+        let mut actions = self.notify_lost();
+        let log_lines = std::mem::take(&mut self.log_lines);
+        actions.extend(log_lines.into_iter().map(ControllerAction::Log));
+        if std::mem::take(&mut self.asks_recent_output) {
+            actions.push(ControllerAction::AskRecentOutput);
         }
         actions.extend(self.next_actions(now, epoch, state, operation));
         actions
     }
 
     /// Notifications for groups that were found to be stalled since the last tick.
-    fn tell_lost(&mut self) -> Vec<ControllerAction> {
-        let untold = self
+    fn notify_lost(&mut self) -> Vec<ControllerAction> {
+        let unnotified = self
             .health
             .iter_mut()
-            .filter(|(_, health)| health.stands_still && !health.is_told);
-        untold
+            .filter(|(_, health)| health.is_stalled && !health.is_notified);
+        unnotified
             .map(|(number, health)| {
-                health.is_told = true;
-                ControllerAction::TellLost(*number)
+                health.is_notified = true;
+                ControllerAction::NotifyLost(*number)
             })
             .collect()
     }
@@ -330,7 +330,7 @@
     }
 
     /// Discards all state that may be outdated because the lease is not held.
-    fn resign(&mut self) {
+    fn reset(&mut self) {
         let list_outage = self.list_outage;
         let load_crashes = std::mem::take(&mut self.load_crashes);
         *self = Self::new(self.settings, self.domain.clone());
@@ -340,9 +340,9 @@
 
     /// Handles a successful read of the assignment.
     pub fn on_read(&mut self, mut stored: Versioned<Assignment>, origin: Origin) {
-        if origin == Origin::Copy {
+        if origin == Origin::Restored {
             // Group numbers that were assigned after the backup was taken must not be used again.
-            stored.value.next_group.0 += NUMBERS_UNSEEN;
+            stored.value.next_group.0 += GROUP_NUMBER_MARGIN;
         }
         self.in_flight = false;
         self.pending = None;
@@ -359,7 +359,7 @@
     pub fn on_foreign(&mut self, version: Version) {
         if self.settings.assembly != Assembly::Orders {
             // Only engines that join by order report their groups in the host list.
-            self.on_unclear();
+            self.on_call_failed();
             return;
         }
         let value = Assignment::default();
@@ -377,7 +377,7 @@
 
     /// Handles a read or write that failed or was rejected: the assignment is read again before
     /// anything else is written.
-    pub fn on_unclear(&mut self) {
+    pub fn on_call_failed(&mut self) {
         self.in_flight = false;
         self.pending = None;
         self.stored = None;
@@ -387,7 +387,7 @@
     /// work was sampled, supply is measured against the wanted replicas.
     ///
     /// Returns log lines if the estimate differs significantly from the last logged one.
-    pub fn note_work(&mut self, state: &FleetState, work: &FleetWork) -> Vec<String> {
+    pub fn record_work(&mut self, state: &FleetState, work: &FleetWork) -> Vec<String> {
         let fleet = state.fleet();
         let replica_demand = fleet.and_then(|fleet| estimate_demand(&fleet.value.profiles, work));
         self.replica_demand = replica_demand.unwrap_or_default();
@@ -404,7 +404,7 @@
     /// Handles a report of a router that a group is stalled: the group is probed immediately, and
     /// frequently for a while.
     pub fn suspect(&mut self, now: Timestamp, number: GroupNumber) {
-        const FOR: Duration = Duration::from_secs(1);
+        const SUSPECT_TIME: Duration = Duration::from_secs(1);
         let group = self
             .stored
             .as_ref()
@@ -418,17 +418,17 @@
         if is_new {
             self.next_call_at.remove(&rank_zero.host);
         }
-        health.suspect_until = Some(now + FOR);
+        health.suspect_until = Some(now + SUSPECT_TIME);
         if is_new && self.settings.assembly == Assembly::Orders {
-            self.ask_beside(now);
+            self.probe_control_hosts(now);
         }
     }
 
     /// Records that a router received output of a group at this time, which shows that the group
     /// was complete.
-    pub fn note_moving(&mut self, at: Timestamp, number: GroupNumber) {
+    pub fn record_output(&mut self, at: Timestamp, number: GroupNumber) {
         if let Some(health) = self.health.get_mut(&number) {
-            health.moved_at = health.moved_at.max(Some(at));
+            health.last_output_at = health.last_output_at.max(Some(at));
         }
     }
 
@@ -442,7 +442,7 @@
         reply: OrderReply,
     ) {
         if self.settings.assembly == Assembly::Orders {
-            self.on_ordered(now, host, order, reply.accepted);
+            self.on_ordered_reply(now, host, order, reply.accepted);
             return;
         }
         let is_release = matches!(order.command, Command::Release { .. });
@@ -456,18 +456,18 @@
     /// Handles the status that an engine returned to a probe sent at `asked_at`.
     pub fn on_status(&mut self, now: Timestamp, asked_at: Timestamp, status: EngineStatus) {
         if self.settings.assembly == Assembly::Orders {
-            self.on_probed(now, &status);
+            self.on_probe_answered(now, &status);
             return;
         }
         self.unreachable.remove(&status.host);
-        self.judge_rank_zero(now, asked_at, &status);
+        self.update_group_health(now, asked_at, &status);
         self.observed.insert(status.host.clone(), status);
     }
 
     /// Handles an order, sent at `asked_at`, that was not answered.
     pub fn on_order_unanswered(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         if self.settings.assembly == Assembly::Orders {
-            self.doubt(now, host);
+            self.schedule_probe(now, host);
         } else {
             self.on_no_status(now, asked_at, host);
         }
@@ -476,7 +476,7 @@
     /// Handles a probe, sent at `asked_at`, that was not answered.
     pub fn on_no_status(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         if self.settings.assembly == Assembly::Orders {
-            self.on_silent(now, asked_at, host);
+            self.on_probe_unanswered(now, asked_at, host);
             return;
         }
         self.on_no_report(now, asked_at, host);
@@ -489,18 +489,18 @@
         now: Timestamp,
         state: &FleetState,
     ) -> (Option<Assignment>, Vec<String>) {
-        let knows_all = state.fleet().is_some() && state.whole_hosts().is_some();
-        let Some(stored) = self.stored.clone().filter(|_| knows_all) else {
+        let is_state_known = state.fleet().is_some() && state.whole_hosts().is_some();
+        let Some(stored) = self.stored.clone().filter(|_| is_state_known) else {
             return (None, Vec::new());
         };
         let mut value = stored.value.clone();
         let mut log = Vec::new();
-        self.note_times(now, &value);
-        if self.adopts() {
-            if !self.knows_what_stands() {
+        self.record_phase_times(now, &value);
+        if self.must_adopt() {
+            if !self.shows_running_groups() {
                 return (None, log);
             }
-            let adopted = self.taken_over(value, state);
+            let adopted = self.merge_running_groups(value, state);
             let (origin, count) = (self.origin, adopted.groups.len());
             log.push(format!(
                 "stored assignment is {origin}, {count} running groups are adopted"
@@ -508,29 +508,29 @@
             return (Some(adopted), log);
         }
         if self.settings.assembly == Assembly::Orders {
-            self.next_ordered(now, &mut value, state, &mut log);
+            self.plan_ordered(now, &mut value, state, &mut log);
             value.held_by_free = self.held_by_free(&value);
             let changed = value != stored.value;
             return (changed.then_some(value), log);
         }
-        self.next_reported(now, &mut value, state, &mut log);
+        self.plan_reported(now, &mut value, state, &mut log);
         // Writes again what the store lost, under the epoch of its current era.
-        let is_lost = self.origin == Origin::Copy;
+        let is_lost = self.origin == Origin::Restored;
         let changed = is_lost || value != stored.value;
         (changed.then_some(value), log)
     }
 
-    fn note_times(&mut self, now: Timestamp, value: &Assignment) {
+    fn record_phase_times(&mut self, now: Timestamp, value: &Assignment) {
         for (times, phase) in [
             (&mut self.retiring_since, GroupPhase::Retiring),
             (&mut self.forming_since, GroupPhase::Forming),
         ] {
-            let in_phase = |number: &GroupNumber| {
+            let is_in_phase = |number: &GroupNumber| {
                 let group = value.groups.get(number);
                 group.is_some_and(|group| group.phase == phase)
             };
-            times.retain(|number, _| in_phase(number));
-            for number in value.groups.keys().filter(|number| in_phase(number)) {
+            times.retain(|number, _| is_in_phase(number));
+            for number in value.groups.keys().filter(|number| is_in_phase(number)) {
                 times.entry(*number).or_insert(now);
             }
         }
@@ -545,7 +545,7 @@
     }
 
     /// Removes retired groups that all members have left.
-    fn drop_retired(&self, value: &mut Assignment, log: &mut Vec<String>) {
+    fn remove_retired(&self, value: &mut Assignment, log: &mut Vec<String>) {
         let has_left = |host: &HostId, number: &GroupNumber| self.has_left(host, *number);
         let retired: Vec<GroupNumber> = value
             .groups
@@ -570,14 +570,14 @@
             .collect()
     }
 
-    fn note_hosts(&mut self, now: Timestamp, state: &FleetState, listing: Listing) {
+    fn update_hosts(&mut self, now: Timestamp, state: &FleetState, list_state: HostListState) {
         if self.stored.is_some() {
             self.stored_seen_at.get_or_insert(now);
         }
-        self.listing = listing;
+        self.list_state = list_state;
         if self.settings.assembly == Assembly::Orders {
-            self.note_listed(now, state);
-            self.note_load_rate(state, listing.domains);
+            self.update_listed(now, state);
+            self.update_load_rate(state, list_state.domains);
             return;
         }
         let Some(hosts) = state.hosts() else {
--- a/shalehinge/src/core/controller/ordered.rs
+++ b/shalehinge/src/core/controller/ordered.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use super::reachability::DOUBT_SPACING;
+use super::reachability::SUSPECT_PROBE_INTERVAL;
 use super::{CallPurpose, Controller, ControllerAction};
 use crate::core::engine::{Command, EngineStatus, LoadCommand, Order};
 use crate::core::fleet_state::FleetState;
@@ -18,20 +18,20 @@
 };
 
 /// Number of consecutive refused orders after which the group is given up.
-const MOST_REFUSALS: u32 = 3;
+const MAX_REFUSALS: u32 = 3;
 /// How long a restarted engine is not ordered to load. By then a second crash of the same model
 /// can be distinguished from the first, and a load takes longer anyway.
-const RELOAD_AFTER: Duration = Duration::from_secs(1);
+const RELOAD_DELAY: Duration = Duration::from_secs(1);
 /// How long the formation of groups that need loads waits after a new host appeared.
 const ARRIVAL_WAIT: Duration = Duration::from_millis(1_500);
 
 /// State of the host list for this failure domain.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct HostListState {
     /// Time at which the list was current.
     pub as_of: Option<Timestamp>,
     /// Whether loads are unlimited, which is the case before the first request of the fleet.
-    pub loads_are_free: bool,
+    pub loads_are_unlimited: bool,
     /// Number of failure domains that share the rate of loads.
     pub domains: usize,
 }
@@ -53,7 +53,7 @@
 impl Controller {
     /// Takes in a new host list. Hosts that are no longer listed are remembered as long as the
     /// assignment uses them.
-    pub(super) fn note_listed(&mut self, now: Timestamp, state: &FleetState) {
+    pub(super) fn update_listed(&mut self, now: Timestamp, state: &FleetState) {
         let Some(hosts) = state.whole_hosts() else {
             return;
         };
@@ -73,7 +73,7 @@
                     is_listed: true,
                 };
                 match self.listed.insert(id.clone(), host) {
-                    None => self.hosts_came_at = Some(now),
+                    None => self.last_host_added_at = Some(now),
                     Some(known) if EngineStart::differ(known.record.started, record.started) => {
                         restarted.push(id.clone());
                     }
@@ -82,7 +82,7 @@
             }
         }
         for host in restarted {
-            self.note_restart(now, &host);
+            self.on_restart(now, &host);
         }
         if let Some(stored) = &self.stored {
             let used = stored.value.used_hosts();
@@ -94,14 +94,14 @@
     /// Handles a restart of the engine on a host: it is in no group and has lost its memory
     /// contents and all orders. A serving group with this host is lost. This does not wait for
     /// the host entry to expire, because the restarted engine keeps renewing it.
-    fn note_restart(&mut self, now: Timestamp, host: &HostId) {
-        self.remarks.push(format!("{host} restarted"));
+    fn on_restart(&mut self, now: Timestamp, host: &HostId) {
+        self.log_lines.push(format!("{host} restarted"));
         self.released.remove(host);
         self.last_model.remove(host);
         self.priming.remove(host);
         let last_call = self.next_call_at.remove(host);
         if let Some((CallPurpose::Load(number), _)) = last_call {
-            self.note_end_in_load(now, host, number);
+            self.record_load_crash(now, host, number);
         }
         self.unreachable.remove(host);
         self.departed.remove(host);
@@ -112,13 +112,13 @@
             .map(|(number, _)| *number);
         for number in serving.collect::<Vec<_>>() {
             let health = self.health.entry(number).or_default();
-            health.lose(host);
+            health.mark_lost(host);
         }
     }
 
     /// Records a possible crash: the engine restarted after it was ordered to load the model of
     /// this group.
-    fn note_end_in_load(&mut self, now: Timestamp, host: &HostId, number: GroupNumber) {
+    fn record_load_crash(&mut self, now: Timestamp, host: &HostId, number: GroupNumber) {
         let stored = self.stored.as_ref();
         let Some(group) = stored.and_then(|stored| stored.value.groups.get(&number)) else {
             return;
@@ -128,9 +128,9 @@
         }
         let purpose = CallPurpose::Load(number);
         self.next_call_at
-            .insert(host.clone(), (purpose, now + RELOAD_AFTER));
-        if let Some((crashes, wait)) = self.load_crashes.note_crash(now, &group.model) {
-            self.remarks.push(format!(
+            .insert(host.clone(), (purpose, now + RELOAD_DELAY));
+        if let Some((crashes, wait)) = self.load_crashes.record_crash(now, &group.model) {
+            self.log_lines.push(format!(
                 "{host} restarted during a load of {}, {crashes} consecutive crashes, next load in {} ms",
                 group.model,
                 wait.as_millis()
@@ -148,7 +148,7 @@
 
     /// Whether the list is at least as recent as this time.
     pub(super) fn is_list_newer(&self, than: Timestamp) -> bool {
-        self.listing.as_of.is_some_and(|as_of| as_of >= than)
+        self.list_state.as_of.is_some_and(|as_of| as_of >= than)
     }
 
     /// Whether the list is newer than this daemon's first read of the assignment. Then whatever
@@ -161,7 +161,7 @@
     /// Whether a host is gone for good, rather than missing from an outdated list or after an
     /// outage.
     fn is_gone(&self, host: &HostId) -> bool {
-        !self.is_listed(host) && self.trusts_absence() && !self.list_outage.may_return()
+        !self.is_listed(host) && self.trusts_absence() && !self.list_outage.entries_may_reappear()
     }
 
     /// Promotes forming groups whose rank 0 takes requests to serving.
@@ -178,22 +178,22 @@
     }
 
     /// Marks groups as lost if the host list shows that they lost a member.
-    pub(super) fn note_listed_losses(&mut self, now: Timestamp, value: &Assignment) {
+    pub(super) fn mark_listed_losses(&mut self, now: Timestamp, value: &Assignment) {
         let trusts_absence = self.trusts_absence();
         let mut lost: Vec<(GroupNumber, HostId)> = Vec::new();
         for (number, group) in &value.groups {
-            if group.phase == GroupPhase::Forming && self.is_stuck(now, *number) {
+            if group.phase == GroupPhase::Forming && self.has_timed_out(now, *number) {
                 let first = group.members.first().map(|member| member.host.clone());
                 lost.extend(first.map(|host| (*number, host)));
                 continue;
             }
-            if let Some(host) = self.gone_from_retiring(*number, group) {
+            if let Some(host) = self.lost_from_retiring(*number, group) {
                 lost.push((*number, host));
                 continue;
             }
             for (rank, member) in group.members.iter().enumerate() {
-                let (host, is_head) = (&member.host, rank == 0);
-                if self.has_lost(*number, group.phase, host, is_head, trusts_absence) {
+                let (host, is_rank_zero) = (&member.host, rank == 0);
+                if self.has_lost(*number, group.phase, host, is_rank_zero, trusts_absence) {
                     lost.push((*number, member.host.clone()));
                     break;
                 }
@@ -206,7 +206,7 @@
         }
     }
 
-    fn is_stuck(&self, now: Timestamp, number: GroupNumber) -> bool {
+    fn has_timed_out(&self, now: Timestamp, number: GroupNumber) -> bool {
         self.forming_since
             .get(&number)
             .is_some_and(|since| now.since(*since) >= self.settings.forming_timeout)
@@ -214,7 +214,7 @@
 
     /// A member of a retiring group that will never confirm its release. Once rank 0 has finished
     /// and left, the other hosts need not wait for it.
-    fn gone_from_retiring(&self, number: GroupNumber, group: &Group) -> Option<HostId> {
+    fn lost_from_retiring(&self, number: GroupNumber, group: &Group) -> Option<HostId> {
         let rank_zero = &group.members.first()?.host;
         let is_finished = group.phase == GroupPhase::Retiring && self.has_left(rank_zero, number);
         if !is_finished {
@@ -232,26 +232,26 @@
         number: GroupNumber,
         phase: GroupPhase,
         host: &HostId,
-        is_head: bool,
+        is_rank_zero: bool,
         trusts_absence: bool,
     ) -> bool {
         if !self.is_listed(host) {
             // Routers send no requests to a rank 0 that is not listed, and a group that never
             // served is not worth waiting for.
-            let needs_it = phase == GroupPhase::Forming || is_head;
-            return needs_it && self.is_gone(host);
+            let is_required = phase == GroupPhase::Forming || is_rank_zero;
+            return is_required && self.is_gone(host);
         }
         let Some(status) = self.status(host) else {
             return false;
         };
         let is_broken = status.group == Some(number) && !status.shows_member(number);
-        let is_away = status.group != Some(number) && trusts_absence;
-        is_broken || (phase == GroupPhase::Serving && is_away)
+        let has_departed = status.group != Some(number) && trusts_absence;
+        is_broken || (phase == GroupPhase::Serving && has_departed)
     }
 
     /// Returns the orders and probes that are due for the stored assignment.
     pub(super) fn ordered_calls(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
-        if self.listed_version == Version::NONE || self.adopts() {
+        if self.listed_version == Version::NONE || self.must_adopt() {
             // The progress of the hosts, or the set of running groups, is not known yet.
             return Vec::new();
         }
@@ -259,16 +259,16 @@
             return Vec::new();
         };
         let mut actions = Vec::new();
-        self.note_models(&stored.value);
+        self.record_models(&stored.value);
         for (number, group) in &stored.value.groups {
             match group.phase {
                 GroupPhase::Forming => self.form(now, epoch, *number, group, &mut actions),
-                GroupPhase::Serving => self.watch_over(now, epoch, *number, group, &mut actions),
+                GroupPhase::Serving => self.monitor(now, epoch, *number, group, &mut actions),
                 GroupPhase::Retiring => self.retire(now, epoch, *number, group, &mut actions),
             }
         }
-        self.ask_doubted(now, &mut actions);
-        self.note_primed();
+        self.send_due_probes(now, &mut actions);
+        self.record_primed();
         self.release_hosts(now, epoch, &stored.value, &mut actions);
         self.prime_hosts(now, epoch, &stored.value, &mut actions);
         self.stage_weights(now, epoch, &stored.value, &mut actions);
@@ -293,21 +293,21 @@
             let is_member = status.is_some_and(|status| status.shows_member(number));
             all_ready &= is_ready;
             if is_ready {
-                self.load_crashes.note_loaded(&group.model);
+                self.load_crashes.record_loaded(&group.model);
             }
             if is_member {
                 continue;
             }
             let purpose = CallPurpose::Load(number);
-            if !self.is_due_again(now, &member.host, purpose)
+            if !self.is_call_due(now, &member.host, purpose)
                 || !self.load_crashes.may_load(now, &group.model, &member.host)
                 || !self.may_load(now, &member.host, &group.model)
             {
                 continue;
             }
-            self.note_call(now, &member.host, purpose);
+            self.record_call(now, &member.host, purpose);
             self.load_crashes
-                .note_order(now, &group.model, &member.host);
+                .record_attempt(now, &group.model, &member.host);
             let command = Command::Load(LoadCommand {
                 model: group.model.clone(),
                 version: group.version.clone(),
@@ -330,23 +330,23 @@
         group: &Group,
         actions: &mut Vec<ControllerAction>,
     ) {
-        let Some(head) = group.members.first() else {
+        let Some(rank_zero) = group.members.first() else {
             return;
         };
         let is_open = self
-            .status(&head.host)
+            .status(&rank_zero.host)
             .is_some_and(|s| s.shows_open(number));
         let purpose = CallPurpose::Open(number);
-        if !is_open && self.is_due_again(now, &head.host, purpose) {
-            self.note_call(now, &head.host, purpose);
-            actions.push(self.order(epoch, number, head, Command::Open));
+        if !is_open && self.is_call_due(now, &rank_zero.host, purpose) {
+            self.record_call(now, &rank_zero.host, purpose);
+            actions.push(self.order(epoch, number, rank_zero, Command::Open));
         }
     }
 
     /// Probes all members of a group that routers reported as stalled. A member that is missing
     /// from the list may only be cut off from the platform, so nothing is done while the group
     /// makes progress.
-    fn watch_over(
+    fn monitor(
         &mut self,
         now: Timestamp,
         epoch: Epoch,
@@ -362,20 +362,20 @@
             .is_some_and(|health| health.is_suspect(now) || health.incomplete_since.is_some());
         for member in &group.members {
             let purpose = CallPurpose::Probe(number);
-            if is_suspect && self.is_due_again(now, &member.host, purpose) {
-                let next = now + DOUBT_SPACING;
+            if is_suspect && self.is_call_due(now, &member.host, purpose) {
+                let next = now + SUSPECT_PROBE_INTERVAL;
                 self.next_call_at
                     .insert(member.host.clone(), (purpose, next));
                 actions.push(ControllerAction::Probe {
                     group: number,
-                    rank_zero: member.clone(),
+                    member: member.clone(),
                 });
             }
         }
-        let Some(head) = group.members.first() else {
+        let Some(rank_zero) = group.members.first() else {
             return;
         };
-        let status = self.status(&head.host);
+        let status = self.status(&rank_zero.host);
         let is_closed = status.is_some_and(|s| s.shows_ready(number) && !s.shows_open(number));
         if is_closed && self.trusts_absence() {
             self.open(now, epoch, number, group, actions);
@@ -392,19 +392,19 @@
         actions: &mut Vec<ControllerAction>,
     ) {
         let since = self.retiring_since.get(&number).copied().unwrap_or(now);
-        let Some(head) = group.members.first() else {
+        let Some(rank_zero) = group.members.first() else {
             return;
         };
-        let status = self.status(&head.host);
+        let status = self.status(&rank_zero.host);
         let may_serve = status.is_some_and(|status| status.shows_open(number));
-        let waited = now.since(since);
-        let drains = may_serve && waited < self.settings.retire_within;
+        let elapsed = now.since(since);
+        let is_draining = may_serve && elapsed < self.settings.retire_within;
         let purpose = CallPurpose::Release(number);
-        if drains {
-            if self.is_due_again(now, &head.host, purpose) {
-                self.note_call(now, &head.host, purpose);
+        if is_draining {
+            if self.is_call_due(now, &rank_zero.host, purpose) {
+                self.record_call(now, &rank_zero.host, purpose);
                 let command = Command::Release { drain: true };
-                actions.push(self.order(epoch, number, head, command));
+                actions.push(self.order(epoch, number, rank_zero, command));
             }
             return;
         }
@@ -415,30 +415,36 @@
 
     /// Whether new hosts appeared recently. More may follow, which may make a load unnecessary.
     pub(super) fn has_new_hosts(&self, now: Timestamp) -> bool {
-        let is_early = self.listing.loads_are_free;
-        !is_early
+        let is_startup = self.list_state.loads_are_unlimited;
+        !is_startup
             && self
-                .hosts_came_at
+                .last_host_added_at
                 .is_some_and(|at| now.since(at) < ARRIVAL_WAIT)
     }
 
     /// Handles the answer of an engine to an order.
-    pub(super) fn on_ordered(&mut self, now: Timestamp, host: &HostId, order: &Order, taken: bool) {
-        self.note_answer(now, host);
+    pub(super) fn on_ordered_reply(
+        &mut self,
+        now: Timestamp,
+        host: &HostId,
+        order: &Order,
+        accepted: bool,
+    ) {
+        self.record_answer(now, host);
         let is_load = matches!(order.command, Command::Load(_));
         if is_load && order.group == GroupNumber::PRIMING {
-            self.on_prime_answered(host, taken);
+            self.on_prime_answered(host, accepted);
             return;
         }
         let health = match order.command {
-            Command::Release { drain: false } if taken => {
+            Command::Release { drain: false } if accepted => {
                 self.released.insert(host.clone(), order.group);
                 return;
             }
             Command::Load(_) | Command::Open => self.health.entry(order.group).or_default(),
             Command::Release { .. } | Command::Stage { .. } => return,
         };
-        if taken {
+        if accepted {
             health.incomplete_since = None;
             health.refusals = 0;
             // Repeating the order is useless before the list shows its result.
@@ -451,22 +457,22 @@
             return;
         }
         health.refusals += 1;
-        if health.refusals >= MOST_REFUSALS {
+        if health.refusals >= MAX_REFUSALS {
             health.is_lost = true;
         }
     }
 
     /// Handles a probe that was answered.
-    pub(super) fn on_probed(&mut self, now: Timestamp, status: &EngineStatus) {
-        self.note_answer(now, &status.host);
-        self.note_look(now, &status.host, true);
+    pub(super) fn on_probe_answered(&mut self, now: Timestamp, status: &EngineStatus) {
+        self.record_answer(now, &status.host);
+        self.record_probe(now, &status.host, true);
         self.departed.remove(&status.host);
         let Some(stored) = &self.stored else {
             return;
         };
         let group = stored.value.groups.iter();
-        let mut of_host = group.filter(|(_, group)| group.contains(&status.host));
-        let Some((number, group)) = of_host.next() else {
+        let mut groups_of_host = group.filter(|(_, group)| group.contains(&status.host));
+        let Some((number, group)) = groups_of_host.next() else {
             return;
         };
         let is_joining = group.phase == GroupPhase::Forming;
@@ -485,25 +491,30 @@
                 health.incomplete_since = None;
             }
         } else if status.group.is_some() || has_restarted {
-            health.lose(&status.host);
+            health.mark_lost(&status.host);
         }
     }
 
     /// Handles a probe, sent at `asked_at`, that was not answered. A single probe may be lost on
     /// the network, so a loss requires two. A probe that ended long after its timeout shows that
     /// this daemon was paused, and is ignored.
-    pub(super) fn on_silent(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
+    pub(super) fn on_probe_unanswered(
+        &mut self,
+        now: Timestamp,
+        asked_at: Timestamp,
+        host: &HostId,
+    ) {
         if now.since(asked_at) >= self.settings.loss_confirm * 2 {
             return;
         }
-        self.note_silence(now, host);
-        self.note_look(now, host, false);
+        self.record_silence(now, host);
+        self.record_probe(now, host, false);
         let Some(stored) = &self.stored else {
             return;
         };
         let groups = stored.value.groups.iter();
-        let mut of_host = groups.filter(|(_, group)| group.contains(host));
-        let Some((number, group)) = of_host.next() else {
+        let mut groups_of_host = groups.filter(|(_, group)| group.contains(host));
+        let Some((number, group)) = groups_of_host.next() else {
             return;
         };
         let is_live = self.is_live(host);
@@ -515,13 +526,13 @@
             // dissolved groups were serving.
             return;
         }
-        if health.moved_at > health.incomplete_since {
+        if health.last_output_at > health.incomplete_since {
             // The group produced output after the member was first found silent, so the member is
             // not lost.
             health.incomplete_since = None;
         }
         if health.incomplete_since.is_none() {
-            self.asks_moving = true;
+            self.asks_recent_output = true;
         }
         let since = *health.incomplete_since.get_or_insert(asked_at);
         health.silent_member.get_or_insert_with(|| host.clone());
@@ -529,36 +540,36 @@
         if is_second && now.since(since) >= self.settings.loss_confirm {
             // Guards against a daemon that gets no answers at all: while its link was saturated
             // by a large configuration, one dissolved nine groups that had lost no member.
-            if !self.own_reach.trusts_silence(asked_at) {
-                let line = self.own_reach.doubt_line();
-                self.remarks.extend(line);
+            if !self.own_connectivity.trusts_silence(asked_at) {
+                let line = self.own_connectivity.distrust_message();
+                self.log_lines.extend(line);
                 return;
             }
             if !health.is_lost {
-                let counts = self.own_reach.all();
-                self.remarks.push(format!(
+                let counts = self.own_connectivity.total();
+                self.log_lines.push(format!(
                     "group {} lost {host}: silent for {} ms, {} of {} recently probed hosts answered",
                     number.0,
                     now.since(since).as_millis(),
                     counts.answered,
-                    counts.asked
+                    counts.probed
                 ));
             }
             if !is_live && group.phase != GroupPhase::Forming {
                 self.departed.insert(host.clone());
                 return;
             }
-            health.lose(host);
+            health.mark_lost(host);
         }
     }
 
-    pub(super) fn is_due_again(&self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
+    pub(super) fn is_call_due(&self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
         self.next_call_at
             .get(host)
             .is_none_or(|(last, at)| *last != purpose || now >= *at)
     }
 
-    pub(super) fn note_call(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) {
+    pub(super) fn record_call(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) {
         let next = now + self.settings.order_interval;
         self.next_call_at.insert(host.clone(), (purpose, next));
     }
--- a/shalehinge/src/core/controller/ordered_plan.rs
+++ b/shalehinge/src/core/controller/ordered_plan.rs
@@ -27,27 +27,27 @@
 
 impl Controller {
     /// Updates `value` to the next assignment.
-    pub(super) fn next_ordered(
+    pub(super) fn plan_ordered(
         &mut self,
         now: Timestamp,
         value: &mut Assignment,
         state: &FleetState,
         log: &mut Vec<String>,
     ) {
-        self.take_departures(now, value);
+        self.free_departed_hosts(now, value);
         self.departed.retain(|host| value.uses(host));
-        self.drop_retired(value, log);
+        self.remove_retired(value, log);
         self.promote_open(value, log);
-        self.note_listed_losses(now, value);
+        self.mark_listed_losses(now, value);
         let lost = self.lost_groups(value);
-        let mut avoided = self.out_of_reach(now, value);
+        let mut avoided = self.unusable_hosts(now, value);
         let existing = existing_replicas(value, &lost);
         let input = PlanInput {
             domain: &self.domain,
             existing: &existing,
             spare_share: self.settings.spare_share,
             unreachable: &avoided,
-            entries_may_return: self.list_outage.may_return(),
+            entries_may_reappear: self.list_outage.entries_may_reappear(),
         };
         log.extend(self.plans.refresh(state, input, &mut value.wanted));
         avoided.extend(self.shown_in_a_group(value).into_keys());
@@ -65,14 +65,14 @@
         let passes = [Some(0), may_load.then_some(usize::MAX)];
         for max_loads in passes.into_iter().flatten() {
             for (index, plan) in self.plans.iter().enumerate() {
-                let part = self.plans.part_for(index, value);
+                let service_assignment = self.plans.part_for(index, value);
                 let mut fleet = plan.fleet.clone();
                 fleet.draining.extend(self.departed.iter().cloned());
                 let context = PlacementContext {
                     domain: &self.domain,
                     fleet: &fleet,
                     hosts: &plan.hosts,
-                    assignment: &part,
+                    assignment: &service_assignment,
                     unreachable: &avoided,
                     lost: &lost,
                     held: &held,
@@ -105,12 +105,12 @@
     }
 
     /// Updates the load budget: this failure domain's part of the weight store's capacity.
-    pub(super) fn note_load_rate(&mut self, state: &FleetState, domains: usize) {
+    pub(super) fn update_load_rate(&mut self, state: &FleetState, domains: usize) {
         let fleet = state.fleet().map(|fleet| &fleet.value);
         let rate = fleet.and_then(|fleet| fleet.load_rate);
-        let part = 1.0 / domains.max(1) as f64;
-        let usable = self.settings.load_share * part;
-        self.loads
+        let fraction = 1.0 / domains.max(1) as f64;
+        let usable = self.settings.load_share * fraction;
+        self.load_budget
             .set_rate(rate.map(|rate| rate.per_second * usable));
         let at_once = rate.and_then(|rate| rate.at_once);
         let profiles = fleet.into_iter().flat_map(|fleet| fleet.profiles.values());
@@ -118,7 +118,7 @@
             .filter_map(|profile| profile.load_seconds)
             .max_by(f64::total_cmp);
         let load_time = longest.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-        self.loads
-            .set_at_once(at_once.map(|at_once| at_once * part), load_time);
+        self.load_budget
+            .set_concurrency(at_once.map(|at_once| at_once * fraction), load_time);
     }
 }
--- a/shalehinge/src/core/controller/own_reach.rs
+++ b/shalehinge/src/core/controller/own_connectivity.rs
@@ -15,14 +15,14 @@
 
 /// How long a probe result is considered. Two probes of a silent host, which prove its loss, take
 /// 300 to 500 ms.
-const COUNTS_FOR: Duration = Duration::from_millis(600);
+const RESULT_LIFETIME: Duration = Duration::from_millis(600);
 /// Number of additional hosts that are probed in each fabric domain. One in four may be lost
 /// without casting doubt on the others.
-const ASKED_BESIDE: usize = 4;
+const CONTROL_PROBES: usize = 4;
 
 /// Result of the last probe of a host.
 #[derive(Clone, Debug)]
-struct Look {
+struct ProbeResult {
     fabric_domain: FabricDomain,
     ended_at: Timestamp,
     is_answered: bool,
@@ -30,119 +30,125 @@
 
 /// Number of recently probed hosts, and how many of them answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct LookCounts {
+pub(super) struct ProbeCounts {
     pub(super) answered: usize,
-    pub(super) asked: usize,
+    pub(super) probed: usize,
 }
 
-impl LookCounts {
+impl ProbeCounts {
     /// Whether at least three in four hosts answered.
-    fn is_sound(self) -> bool {
-        self.answered * 4 >= self.asked * 3
+    fn is_reliable(self) -> bool {
+        self.answered * 4 >= self.probed * 3
     }
 }
 
 /// The last probes that this daemon sent to hosts of its failure domain.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OwnReach {
-    looks: BTreeMap<HostId, Look>,
+pub(super) struct OwnConnectivity {
+    results: BTreeMap<HostId, ProbeResult>,
     /// Time since which recent probes show that this daemon reaches hosts.
-    sound_since: Option<Timestamp>,
+    reachable_since: Option<Timestamp>,
     /// Whether a missing answer was already reported as not trusted since then.
-    is_doubt_told: bool,
+    is_distrust_logged: bool,
 }
 
-impl OwnReach {
+impl OwnConnectivity {
     /// Records the result of a probe.
-    fn note(&mut self, now: Timestamp, host: HostId, fabric_domain: FabricDomain, answered: bool) {
-        let look = Look {
+    fn record(
+        &mut self,
+        now: Timestamp,
+        host: HostId,
+        fabric_domain: FabricDomain,
+        answered: bool,
+    ) {
+        let result = ProbeResult {
             fabric_domain,
             ended_at: now,
             is_answered: answered,
         };
-        self.looks
-            .retain(|_, look| now.since(look.ended_at) < COUNTS_FOR);
-        self.looks.insert(host, look);
-        let is_sound = self.counts().values().any(|counts| counts.is_sound());
-        self.sound_since = match self.sound_since {
-            _ if !is_sound => None,
+        self.results
+            .retain(|_, result| now.since(result.ended_at) < RESULT_LIFETIME);
+        self.results.insert(host, result);
+        let is_reliable = self.counts().values().any(|counts| counts.is_reliable());
+        self.reachable_since = match self.reachable_since {
+            _ if !is_reliable => None,
             Some(since) => Some(since),
             None => Some(now),
         };
-        self.is_doubt_told &= !is_sound;
+        self.is_distrust_logged &= !is_reliable;
     }
 
-    fn counts(&self) -> BTreeMap<&FabricDomain, LookCounts> {
-        let mut counts: BTreeMap<&FabricDomain, LookCounts> = BTreeMap::new();
-        for look in self.looks.values() {
-            let counts = counts.entry(&look.fabric_domain).or_default();
-            counts.asked += 1;
-            counts.answered += usize::from(look.is_answered);
+    fn counts(&self) -> BTreeMap<&FabricDomain, ProbeCounts> {
+        let mut counts: BTreeMap<&FabricDomain, ProbeCounts> = BTreeMap::new();
+        for result in self.results.values() {
+            let counts = counts.entry(&result.fabric_domain).or_default();
+            counts.probed += 1;
+            counts.answered += usize::from(result.is_answered);
         }
         counts
     }
 
     /// Recent probes of all fabric domains.
-    pub(super) fn all(&self) -> LookCounts {
-        let mut all = LookCounts::default();
+    pub(super) fn total(&self) -> ProbeCounts {
+        let mut total = ProbeCounts::default();
         for counts in self.counts().into_values() {
-            all.answered += counts.answered;
-            all.asked += counts.asked;
+            total.answered += counts.answered;
+            total.probed += counts.probed;
         }
-        all
+        total
     }
 
     /// Whether a probe that was sent at this time and not answered is evidence against the host.
     pub(super) fn trusts_silence(&self, asked_at: Timestamp) -> bool {
-        self.sound_since.is_some_and(|since| asked_at >= since)
+        self.reachable_since.is_some_and(|since| asked_at >= since)
     }
 
     /// Log line for a missing answer that is not trusted. Returned once, until hosts answer
     /// again.
-    pub(super) fn doubt_line(&mut self) -> Option<String> {
-        let is_told = std::mem::replace(&mut self.is_doubt_told, true);
-        let LookCounts { answered, asked } = self.all();
-        (!is_told).then(|| {
+    pub(super) fn distrust_message(&mut self) -> Option<String> {
+        let is_logged = std::mem::replace(&mut self.is_distrust_logged, true);
+        let ProbeCounts { answered, probed } = self.total();
+        (!is_logged).then(|| {
             format!(
-                "no group is lost by silence: {answered} of {asked} recently probed hosts answered"
+                "no group is lost by silence: {answered} of {probed} recently probed hosts answered"
             )
         })
     }
 
-    fn looked_at_lately(&self, now: Timestamp, host: &HostId) -> bool {
-        let look = self.looks.get(host);
-        look.is_some_and(|look| now.since(look.ended_at) < COUNTS_FOR)
+    fn was_recently_probed(&self, now: Timestamp, host: &HostId) -> bool {
+        let result = self.results.get(host);
+        result.is_some_and(|result| now.since(result.ended_at) < RESULT_LIFETIME)
     }
 }
 
 impl Controller {
     /// Records the result of a probe.
-    pub(super) fn note_look(&mut self, now: Timestamp, host: &HostId, answered: bool) {
+    pub(super) fn record_probe(&mut self, now: Timestamp, host: &HostId, answered: bool) {
         if let Some(listed) = self.listed.get(host) {
             let fabric_domain = listed.record.fabric_domain.clone();
-            self.own_reach
-                .note(now, host.clone(), fabric_domain, answered);
+            self.own_connectivity
+                .record(now, host.clone(), fabric_domain, answered);
         }
     }
 
     /// Probes some hosts of each fabric domain in addition to those of suspected groups.
-    pub(super) fn ask_beside(&mut self, now: Timestamp) {
-        let mut asked: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
+    pub(super) fn probe_control_hosts(&mut self, now: Timestamp) {
+        let mut probed: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
         let mut hosts = Vec::new();
         for (host, listed) in &self.listed {
             if !self.is_live(host) {
                 continue;
             }
-            let asked = asked.entry(&listed.record.fabric_domain).or_default();
-            if *asked < ASKED_BESIDE {
-                *asked += 1;
-                if !self.own_reach.looked_at_lately(now, host) {
+            let probed = probed.entry(&listed.record.fabric_domain).or_default();
+            if *probed < CONTROL_PROBES {
+                *probed += 1;
+                if !self.own_connectivity.was_recently_probed(now, host) {
                     hosts.push(host.clone());
                 }
             }
         }
         for host in hosts {
-            self.doubt(now, &host);
+            self.schedule_probe(now, &host);
         }
     }
 }
--- a/shalehinge/src/core/controller/reachability.rs
+++ b/shalehinge/src/core/controller/reachability.rs
@@ -15,42 +15,46 @@
 
 /// Interval between probes of a host that left an order unanswered or is a member of a suspected
 /// group. Two probes prove a loss, and the group waits for this proof.
-pub(super) const DOUBT_SPACING: Duration = Duration::from_millis(100);
+pub(super) const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between probes of a host that is known to be silent. The end of a cut is noticed
 /// within half a second, at the cost of a few probes per second.
-const SILENT_SPACING: Duration = Duration::from_millis(500);
+const SILENT_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Controller {
     /// Schedules a probe of a host that left an order unanswered. The order is repeated and may
     /// be carried out late, which group numbers make harmless. Only a host that does not answer
     /// probes either is unreachable.
-    pub(super) fn doubt(&mut self, now: Timestamp, host: &HostId) {
-        self.doubted.entry(host.clone()).or_insert(now);
+    pub(super) fn schedule_probe(&mut self, now: Timestamp, host: &HostId) {
+        self.next_probe_at.entry(host.clone()).or_insert(now);
     }
 
     /// Records that a host left a probe unanswered.
-    pub(super) fn note_silence(&mut self, now: Timestamp, host: &HostId) {
+    pub(super) fn record_silence(&mut self, now: Timestamp, host: &HostId) {
         self.unreachable.entry(host.clone()).or_insert(now);
         let mut groups = self.stored.iter().flat_map(|s| s.value.groups.values());
         let is_member = groups.any(|group| group.contains(host));
-        let spacing = if is_member {
-            DOUBT_SPACING
+        let interval = if is_member {
+            SUSPECT_PROBE_INTERVAL
         } else {
-            SILENT_SPACING
+            SILENT_PROBE_INTERVAL
         };
-        self.doubted.insert(host.clone(), now + spacing);
+        self.next_probe_at.insert(host.clone(), now + interval);
     }
 
     /// Records that a host answered an order or a probe.
-    pub(super) fn note_answer(&mut self, now: Timestamp, host: &HostId) {
+    pub(super) fn record_answer(&mut self, now: Timestamp, host: &HostId) {
         self.unreachable.remove(host);
-        self.doubted.remove(host);
+        self.next_probe_at.remove(host);
         self.answered_at.insert(host.clone(), now);
     }
 
     /// Hosts that new groups must not use: silent hosts, and free hosts that have not answered
     /// since others became silent. Probes of the latter are scheduled.
-    pub(super) fn out_of_reach(&mut self, now: Timestamp, value: &Assignment) -> BTreeSet<HostId> {
+    pub(super) fn unusable_hosts(
+        &mut self,
+        now: Timestamp,
+        value: &Assignment,
+    ) -> BTreeSet<HostId> {
         let listed = &self.listed;
         self.unreachable.retain(|host, _| listed.contains_key(host));
         self.answered_at.retain(|host, _| listed.contains_key(host));
@@ -59,15 +63,15 @@
             return hosts;
         };
         let used = value.used_hosts();
-        let unproven: Vec<HostId> = self
+        let unconfirmed: Vec<HostId> = self
             .listed
             .keys()
             .filter(|host| self.is_live(host) && !used.contains(*host))
             .filter(|host| self.answered_at.get(*host).is_none_or(|at| *at < since))
             .cloned()
             .collect();
-        for host in unproven {
-            self.doubt(now, &host);
+        for host in unconfirmed {
+            self.schedule_probe(now, &host);
             hosts.insert(host);
         }
         hosts
@@ -87,19 +91,20 @@
     }
 
     /// Sends the due probes of hosts that left an order or a probe unanswered.
-    pub(super) fn ask_doubted(&mut self, now: Timestamp, actions: &mut Vec<ControllerAction>) {
+    pub(super) fn send_due_probes(&mut self, now: Timestamp, actions: &mut Vec<ControllerAction>) {
         let listed = &self.listed;
-        self.doubted.retain(|host, _| listed.contains_key(host));
-        for (host, next_at) in &mut self.doubted {
+        self.next_probe_at
+            .retain(|host, _| listed.contains_key(host));
+        for (host, next_at) in &mut self.next_probe_at {
             if now < *next_at {
                 continue;
             }
-            *next_at = now + DOUBT_SPACING;
+            *next_at = now + SUSPECT_PROBE_INTERVAL;
             let host = host.clone();
             let address = listed[&host].record.address;
             actions.push(ControllerAction::Probe {
                 group: GroupNumber::PRIMING,
-                rank_zero: Member { host, address },
+                member: Member { host, address },
             });
         }
     }
--- a/shalehinge/src/core/controller/reported.rs
+++ b/shalehinge/src/core/controller/reported.rs
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// Updates `value` to the next assignment, where replica counts follow from the intents.
-    pub(super) fn next_reported(
+    pub(super) fn plan_reported(
         &mut self,
         now: Timestamp,
         value: &mut Assignment,
@@ -24,9 +24,9 @@
         let (Some(fleet), Some(hosts)) = (state.fleet(), state.whole_hosts()) else {
             return;
         };
-        self.take_acknowledgements(value, state, log);
+        self.apply_acknowledgements(value, state, log);
         self.promote_ready(value, log);
-        self.note_losses(now, value, state);
+        self.mark_losses(now, value, state);
         let lost = self.lost_groups(value);
         let unreachable = self.recently_unreachable(now);
         let held = self.held_weights();
@@ -52,7 +52,7 @@
     }
 
     /// Updates the health of a group from the status of its rank 0.
-    pub(super) fn judge_rank_zero(
+    pub(super) fn update_group_health(
         &mut self,
         now: Timestamp,
         asked_at: Timestamp,
@@ -107,7 +107,7 @@
     }
 
     /// Frees hosts whose engines confirm that they left their group.
-    fn take_acknowledgements(
+    fn apply_acknowledgements(
         &self,
         value: &mut Assignment,
         state: &FleetState,
@@ -121,7 +121,7 @@
         value
             .releasing
             .retain(|host, number| is_listed(host) && !has_left(host, number));
-        self.drop_retired(value, log);
+        self.remove_retired(value, log);
     }
 
     /// Promotes forming groups whose rank 0 reports all members present to serving.
@@ -141,24 +141,24 @@
 
     /// Marks groups as lost for reasons that no engine reports: a member is no longer listed, or
     /// the group did not form in time.
-    fn note_losses(&mut self, now: Timestamp, value: &Assignment, state: &FleetState) {
+    fn mark_losses(&mut self, now: Timestamp, value: &Assignment, state: &FleetState) {
         let Some(hosts) = state.hosts() else {
             return;
         };
         for (number, group) in &value.groups {
-            let gone = group
+            let unlisted = group
                 .members
                 .iter()
                 .map(|member| &member.host)
                 .find(|host| !hosts.value.hosts.contains_key(*host));
-            let stuck = self
+            let has_timed_out = self
                 .forming_since
                 .get(number)
                 .is_some_and(|since| now.since(*since) >= self.settings.forming_timeout);
-            if gone.is_some() || stuck {
+            if unlisted.is_some() || has_timed_out {
                 let health = self.health.entry(*number).or_default();
                 health.is_lost = true;
-                health.lost_member = health.lost_member.take().or(gone.cloned());
+                health.lost_member = health.lost_member.take().or(unlisted.cloned());
             }
         }
     }
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -48,7 +48,7 @@
     pub(super) existing: &'a ReplicaCounts,
     /// Whether expired entries may reappear in the list. In that case the listed state of other
     /// failure domains is no reason to change the replicas of this one.
-    pub(super) entries_may_return: bool,
+    pub(super) entries_may_reappear: bool,
 }
 
 /// Plans of all services, recomputed when their inputs change.
@@ -106,7 +106,7 @@
         hosts: &HostList,
         input: PlanInput<'_>,
     ) -> Vec<String> {
-        if input.entries_may_return && !self.shares.is_empty() {
+        if input.entries_may_reappear && !self.shares.is_empty() {
             return Vec::new();
         }
         let mut shares = BTreeMap::new();
--- a/shalehinge/src/core/controller/staging.rs
+++ b/shalehinge/src/core/controller/staging.rs
@@ -20,7 +20,7 @@
 
 /// Weights that should be staged on a host. The most useful request sorts first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct StageWish {
+struct StageRequest {
     /// Number of members of the host's group; 0 for a free host.
     group_size: usize,
     host: HostId,
@@ -31,7 +31,7 @@
     /// Whether the host has the weights of the model, or may load them now to join a group. Takes
     /// a load from the budget in the latter case.
     pub(super) fn may_load(&mut self, now: Timestamp, host: &HostId, model: &ModelName) -> bool {
-        self.needs_no_load(host, model) || self.loads.take(now)
+        self.needs_no_load(host, model) || self.load_budget.try_acquire(now)
     }
 
     /// Whether the host has the weights of the model, or loads are unlimited.
@@ -39,11 +39,11 @@
         let listed = self.listed.get(host);
         let is_staged = listed.is_some_and(|listed| listed.record.staged.contains(model));
         let is_last = self.last_model.get(host) == Some(model);
-        is_staged || is_last || self.listing.loads_are_free
+        is_staged || is_last || self.list_state.loads_are_unlimited
     }
 
     /// Records the model of each host whose priming is complete.
-    pub(super) fn note_primed(&mut self) {
+    pub(super) fn record_primed(&mut self) {
         let primed: Vec<HostId> = self
             .priming
             .keys()
@@ -68,8 +68,8 @@
 
     /// Handles the answer to a priming order. A host that refuses was in a group before. The
     /// model of that group is not known, so the ordered one is recorded as its last.
-    pub(super) fn on_prime_answered(&mut self, host: &HostId, taken: bool) {
-        if taken {
+    pub(super) fn on_prime_answered(&mut self, host: &HostId, accepted: bool) {
+        if accepted {
             return;
         }
         if let Some(model) = self.priming.remove(host) {
@@ -115,7 +115,7 @@
             }
             self.staged_at
                 .insert(host.clone(), (purpose, now + STAGE_INTERVAL));
-            self.note_call(now, &host, purpose);
+            self.record_call(now, &host, purpose);
             self.priming.insert(host.clone(), model.clone());
             let command = Command::Load(LoadCommand {
                 model,
@@ -138,28 +138,29 @@
         value: &Assignment,
         actions: &mut Vec<ControllerAction>,
     ) {
-        let forms = |group: &Group| group.phase == GroupPhase::Forming;
-        if self.listing.loads_are_free && value.groups.values().any(forms) {
+        let is_forming = |group: &Group| group.phase == GroupPhase::Forming;
+        if self.list_state.loads_are_unlimited && value.groups.values().any(is_forming) {
             // Before the first request, forming groups take precedence over the weights of second
             // models.
             return;
         }
         let mut wanted = self.wanted_weights(value);
         wanted.sort();
-        for StageWish { host, model, .. } in wanted {
+        for StageRequest { host, model, .. } in wanted {
             let purpose = CallPurpose::Stage;
             let is_due = self
                 .staged_at
                 .get(&host)
                 .is_none_or(|(last, at)| *last != purpose || now >= *at);
             let may_load = is_due
-                && (self.needs_no_load(&host, &model) || self.loads.take_for_second_weights(now));
+                && (self.needs_no_load(&host, &model)
+                    || self.load_budget.try_acquire_for_second_model(now));
             if !may_load {
                 continue;
             }
             self.staged_at
                 .insert(host.clone(), (purpose, now + STAGE_INTERVAL));
-            self.note_call(now, &host, purpose);
+            self.record_call(now, &host, purpose);
             let address = self.listed[&host].record.address;
             let member = Member { host, address };
             let command = Command::Stage { model };
@@ -169,7 +170,7 @@
 
     /// Records the model that each member of a group holds. While a member joins, its model is
     /// unknown unless it was the same before.
-    pub(super) fn note_models(&mut self, value: &Assignment) {
+    pub(super) fn record_models(&mut self, value: &Assignment) {
         for (number, group) in &value.groups {
             for Member { host, .. } in &group.members {
                 let status = self.status(host);
@@ -195,7 +196,7 @@
             .collect()
     }
 
-    fn wanted_weights(&mut self, value: &Assignment) -> Vec<StageWish> {
+    fn wanted_weights(&mut self, value: &Assignment) -> Vec<StageRequest> {
         let in_a_group = self.shown_in_a_group(value);
         let mut group_of: BTreeMap<&HostId, &Group> = BTreeMap::new();
         for group in value.groups.values() {
@@ -207,7 +208,7 @@
         self.last_model.retain(|host, _| listed.contains_key(host));
         self.priming.retain(|host, _| listed.contains_key(host));
         let sizes = self.plans.model_sizes();
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         for (host, listed) in &self.listed {
             let is_usable = listed.is_listed
                 && listed.record.state == HostState::Live
@@ -228,13 +229,13 @@
                 continue;
             };
             if !listed.record.staged.contains(model) {
-                wishes.push(StageWish {
+                requests.push(StageRequest {
                     group_size: group.map_or(0, |group| group.members.len()),
                     host: host.clone(),
                     model: model.clone(),
                 });
             }
         }
-        wishes
+        requests
     }
 }
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{CANDIDATES, Daemon, Purpose, WORK_INTERVAL, log};
-use crate::core::controller::{ControllerAction, Listing, Origin};
+use crate::core::controller::{ControllerAction, HostListState, Origin};
 use crate::core::event::{Action, Part, StatusPurpose};
 use crate::core::fleet_state::ObjectUpdate;
 use crate::core::lease::LeaseStep;
@@ -100,12 +100,12 @@
         self.next_work_at = now + WORK_INTERVAL;
         let daemons = self.membership.fleet_size(now);
         let work = self.demand.of_fleet(now, daemons);
-        for text in self.controller.note_work(&self.state, &work) {
+        for text in self.controller.record_work(&self.state, &work) {
             log(out, Part::Place, text);
         }
     }
 
-    fn listing(&self, now: Timestamp) -> Listing {
+    fn listing(&self, now: Timestamp) -> HostListState {
         // Only the holder needs the number of failure domains.
         let hosts = self.state.whole_hosts().filter(|_| self.was_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
@@ -114,9 +114,9 @@
             .map(|record| &record.failure_domain)
             .collect();
         let is_early = now.as_duration() < self.settings.control.free_loads_within;
-        Listing {
+        HostListState {
             as_of: self.hosts_as_of(),
-            loads_are_free: self.identity.is_first_start && is_early && !self.has_served,
+            loads_are_unlimited: self.identity.is_first_start && is_early && !self.has_served,
             domains: domains.len(),
         }
     }
@@ -157,13 +157,13 @@
                     valid_until: self.lease.valid_until(),
                 });
             }
-            ControllerAction::Probe { group, rank_zero } => out.push(Action::AskStatus {
+            ControllerAction::Probe { group, member } => out.push(Action::AskStatus {
                 purpose: StatusPurpose::Probe(group),
-                host: Some(rank_zero.host),
-                address: rank_zero.address,
+                host: Some(member.host),
+                address: member.address,
             }),
-            ControllerAction::AskMoving => self.ask_moving(now, out),
-            ControllerAction::TellLost(number) => {
+            ControllerAction::AskRecentOutput => self.ask_moving(now, out),
+            ControllerAction::NotifyLost(number) => {
                 let failure_domain = self.identity.failure_domain.clone();
                 let replica = ReplicaId {
                     failure_domain,
@@ -184,7 +184,7 @@
         match result {
             Ok(PlatformReply::Object(object)) => match (*object).into_assignment() {
                 Some(stored) => self.on_assignment_read(now, stored, out),
-                None => self.controller.on_unclear(),
+                None => self.controller.on_call_failed(),
             },
             Ok(PlatformReply::Missing(era)) => {
                 let nothing = Versioned {
@@ -204,7 +204,7 @@
                 | PlatformReply::HistoryGone(_),
             )
             | Err(NoAnswer) => {
-                self.controller.on_unclear();
+                self.controller.on_call_failed();
             }
         }
     }
@@ -230,7 +230,7 @@
             value,
         };
         let origin = if is_copied {
-            Origin::Copy
+            Origin::Restored
         } else {
             Origin::Current
         };
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -194,7 +194,7 @@
     fn note_moving(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
         for LastOutput { replica, ms_ago } in moving {
             if let Some(at) = before(asked_at, ms_ago) {
-                self.controller.note_moving(at, replica.number);
+                self.controller.record_output(at, replica.number);
             }
         }
     }
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -296,7 +296,7 @@
 #[test]
 fn loads_begin_no_faster_than_the_rate_allows() {
     let mut domain = Domain::new(&[8, 8, 8, 8]);
-    domain.loads_are_free = false;
+    domain.loads_are_unlimited = false;
     domain.run_for(seconds(40));
     for (index, first) in domain.loads.iter().enumerate() {
         let in_window = domain.loads[index..]
@@ -348,7 +348,7 @@
         domain.go_dark(member);
         domain.engine(member).is_listed = false;
     }
-    domain.note_work(&work(large, small));
+    domain.record_work(&work(large, small));
     let now = domain.now;
     domain.controller.suspect(now, number);
 }
@@ -372,7 +372,7 @@
     lose_large_group(&mut domain, 200.0, 5.0);
     let mut seen = work(5.0, 200.0);
     seen.sampled_requests = 20.0;
-    domain.note_work(&seen);
+    domain.record_work(&seen);
     domain.run_until("preemption as without an estimate", |domain| {
         domain.open_groups(LARGE) == 2
     });
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use shalehinge::core::controller::{Controller, ControllerAction, Listing, Origin};
+use shalehinge::core::controller::{Controller, ControllerAction, HostListState, Origin};
 use shalehinge::core::demand::FleetWork;
 use shalehinge::core::engine::{
     Command, EngineLoad, EnginePhase, EngineStatus, HeldModel, Order, OrderReply,
@@ -60,7 +60,7 @@
     pub now: Timestamp,
     /// Whether the host list is still updated.
     pub list_moves: bool,
-    pub loads_are_free: bool,
+    pub loads_are_unlimited: bool,
     pub loads: Vec<Timestamp>,
     /// Times at which weights of second models were staged.
     pub stages: Vec<Timestamp>,
@@ -149,7 +149,7 @@
             },
             now: Timestamp::from_millis(1_000),
             list_moves: true,
-            loads_are_free: true,
+            loads_are_unlimited: true,
             loads: Vec::new(),
             stages: Vec::new(),
             orders: 0,
@@ -192,15 +192,15 @@
     pub fn serving(fabrics: &[usize]) -> Self {
         let mut domain = Self::new(fabrics);
         domain.run_for(Duration::from_secs(90));
-        domain.loads_are_free = false;
+        domain.loads_are_unlimited = false;
         domain.loads.clear();
         domain.stages.clear();
         domain
     }
 
     /// Reports the work that arrives at the fleet to the controller.
-    pub fn note_work(&mut self, work: &FleetWork) {
-        self.controller.note_work(&self.state, work);
+    pub fn record_work(&mut self, work: &FleetWork) {
+        self.controller.record_work(&self.state, work);
     }
 
     /// Adds a host without weights to this fabric domain.
@@ -259,9 +259,9 @@
             }
         }
         self.update_list();
-        let listing = Listing {
+        let listing = HostListState {
             as_of: Some(self.as_of),
-            loads_are_free: self.loads_are_free,
+            loads_are_unlimited: self.loads_are_unlimited,
             domains: 1,
         };
         let (epoch, operation) = (Some(Epoch(1)), OperationId(1));
@@ -308,21 +308,21 @@
                 self.controller.on_written(version);
             }
             ControllerAction::Order { host, order, .. } => self.order(host, order),
-            ControllerAction::Probe { rank_zero, .. } => {
-                let engine = &self.engines[&rank_zero.host];
+            ControllerAction::Probe { member, .. } => {
+                let engine = &self.engines[&member.host];
                 if engine.is_reachable {
-                    let status = engine.status(&rank_zero.host);
+                    let status = engine.status(&member.host);
                     self.controller.on_status(self.now, self.now, status);
                 } else {
-                    self.give_up_look(&rank_zero.host, LOOK_TIMEOUT);
+                    self.give_up_look(&member.host, LOOK_TIMEOUT);
                 }
             }
-            ControllerAction::AskMoving => {
+            ControllerAction::AskRecentOutput => {
                 for number in self.moving.clone() {
-                    self.controller.note_moving(self.now, number);
+                    self.controller.record_output(self.now, number);
                 }
             }
-            ControllerAction::TellLost(number) => self.told_lost.push(number),
+            ControllerAction::NotifyLost(number) => self.told_lost.push(number),
             ControllerAction::Log(_) => {}
         }
     }
@@ -387,7 +387,7 @@
                     engine.staged = vec![load.model.clone()];
                 }
                 let time = if is_warm { WARM_JOIN } else { COLD_JOIN };
-                let free = self.loads_are_free && !is_warm;
+                let free = self.loads_are_unlimited && !is_warm;
                 engine.ready_at = now + if free { time / 10 } else { time };
                 engine.phase = EnginePhase::Loading;
                 engine.group = Some(order.group);
