--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -287,7 +287,7 @@
         CORE + "controller/load_crashes.rs",
         "let wait = backoff_after(record.crashes);",
         "let wait = backoff_after(record.crashes.min(1));",
-        "crashing_models", "ever_more_rarely",
+        "crashing_models", "increasing_waits",
     ),
     "one-engine-tries-a-model": (
         CORE + "controller/load_crashes.rs",
@@ -311,7 +311,7 @@
         CORE + "controller/mod.rs",
         "            if !self.shows_running_groups() {\n                return (None, log);\n            }\n",
         "",
-        "adoption", "orders_nothing",
+        "adoption", "sends_no_orders",
     ),
     "a-foreign-lease-waits-a-term": (
         CORE + "lease.rs",
@@ -360,19 +360,19 @@
         CORE + "controller/ordered.rs",
         "} else if status.group.is_some() || has_restarted {",
         "} else if status.group.is_some() {",
-        "ordered", "its_own_answer",
+        "ordered", "by_its_answer",
     ),
     "silence-only-while-others-answer": (
         CORE + "controller/ordered.rs",
         "if !self.own_connectivity.trusts_silence(asked_at) {",
         "if false && !self.own_connectivity.trusts_silence(asked_at) {",
-        "ordered", "a_holder_that",
+        "ordered", "a_holder_with",
     ),
     "most-must-answer": (
         CORE + "controller/own_connectivity.rs",
         "self.answered * 4 >= self.probed * 3",
         "self.answered > 0",
-        "ordered", "few_hosts_answer",
+        "ordered", "few_answers",
     ),
     "near-peers-first": (
         CORE + "whole_fetch.rs",
@@ -672,7 +672,7 @@
         CORE + "controller/ordered.rs",
         "let is_finished = group.phase == GroupPhase::Retiring && self.has_left(rank_zero, number);",
         "let is_finished = false;",
-        "ordered", "gone_keeps",
+        "ordered", "does_not_block_a_retiring",
     ),
     "held-by-free": (
         CORE + "controller/mod.rs",
@@ -683,7 +683,7 @@
         CORE + "controller/reachability.rs",
         "let Some(since) = self.silent_since() else {",
         "let Some(since) = None::<Timestamp> else {",
-        "ordered", "fell_silent",
+        "ordered", "became_silent",
     ),
     "lapsed-entries": (
         CORE + "controller/ordered.rs",
@@ -704,12 +704,12 @@
     "two-looks": (
         CORE + "controller/ordered.rs",
         "let is_second = asked_at > since;", "let is_second = true;",
-        "ordered", "one_look",
+        "ordered", "one_unanswered_probe",
     ),
     "paused-looks": (
         CORE + "controller/ordered.rs",
         "if now.since(asked_at) >= self.settings.loss_confirm * 2 {", "if false {",
-        "ordered", "stood_still",
+        "ordered", "was_paused",
     ),
     "load-rate": (
         CORE + "controller/load_budget.rs", "if self.tokens < 1.0 {", "if false {",
--- a/shalehinge/tests/adoption.rs
+++ b/shalehinge/tests/adoption.rs
@@ -11,17 +11,17 @@
 }
 
 /// Overwrites the assignment as another program would, and hands the lease over.
-fn lose_assignment(domain: &mut Domain) {
+fn overwrite_assignment(domain: &mut Domain) {
     domain.is_foreign = true;
     domain.stored.version.number += 1;
     domain.change_holder();
 }
 
 #[test]
-fn groups_that_stand_are_taken_over_where_another_writer_overwrote_the_assignment() {
+fn running_groups_are_adopted_after_another_writer_overwrote_the_assignment() {
     let mut domain = Domain::serving(&[8, 8]);
     let before = domain.stored.value.groups.clone();
-    lose_assignment(&mut domain);
+    overwrite_assignment(&mut domain);
     domain.run_for(seconds(10));
     assert!(!domain.is_foreign, "the assignment was rewritten");
     let after = &domain.stored.value.groups;
@@ -36,25 +36,25 @@
 }
 
 #[test]
-fn a_group_that_lost_a_member_while_the_assignment_was_overwritten_is_formed_anew() {
+fn a_group_that_lost_a_member_while_the_assignment_was_overwritten_is_replaced() {
     let mut domain = Domain::serving(&[8, 8]);
     let (_, members) = domain.group_of(LARGE);
     domain.engine(&members[1]).is_listed = false;
     domain.engine(&members[1]).is_reachable = false;
-    lose_assignment(&mut domain);
+    overwrite_assignment(&mut domain);
     domain.run_until("group formed again", |domain| {
         !domain.is_foreign && domain.open_groups(LARGE) == 2
     });
 }
 
 #[test]
-fn a_holder_without_a_list_newer_than_the_overwritten_assignment_orders_nothing() {
+fn a_holder_without_a_list_newer_than_the_overwritten_assignment_sends_no_orders() {
     let mut domain = Domain::serving(&[8]);
-    let list = domain.list_as_it_is();
-    lose_assignment(&mut domain);
+    let list = domain.current_list();
+    overwrite_assignment(&mut domain);
     domain.change_holder_with_list(list);
-    let orders = domain.orders;
+    let order_count = domain.order_count;
     domain.run_for(seconds(5));
-    assert_eq!(domain.orders, orders);
+    assert_eq!(domain.order_count, order_count);
     assert!(domain.is_foreign);
 }
--- a/shalehinge/tests/crashing_models.rs
+++ b/shalehinge/tests/crashing_models.rs
@@ -17,25 +17,25 @@
 
 /// Maximum number of crashes of one engine in five minutes: three crashes identify the model, and
 /// from then on attempts wait 10 s, 20 s, 40 s and so on, which allows five of them.
-const MOST_ENDS: usize = 3 + 5;
+const MAX_CRASHES: usize = 3 + 5;
 const FIVE_MINUTES: Duration = Duration::from_secs(300);
 
 /// Number of crashes of each engine.
-fn ends(domain: &Domain) -> BTreeMap<HostId, usize> {
-    let mut ends = BTreeMap::new();
-    for (_, host) in &domain.ended {
-        *ends.entry(host.clone()).or_default() += 1;
+fn crash_counts(domain: &Domain) -> BTreeMap<HostId, usize> {
+    let mut crash_counts = BTreeMap::new();
+    for (_, host) in &domain.crashes {
+        *crash_counts.entry(host.clone()).or_default() += 1;
     }
-    ends
+    crash_counts
 }
 
-fn most_ends(domain: &Domain) -> usize {
-    ends(domain).into_values().max().unwrap_or(0)
+fn max_crashes(domain: &Domain) -> usize {
+    crash_counts(domain).into_values().max().unwrap_or(0)
 }
 
 /// Returns a domain in which loading the large model crashes the engine, and one group of it must
 /// be formed again.
-fn crashes_as_one_group_forms() -> Domain {
+fn domain_with_crashing_model() -> Domain {
     let mut domain = Domain::serving(&[8, 8, 8]);
     domain.crashing_model = Some(ModelName::new(LARGE));
     let (_, members) = domain.group_of(LARGE);
@@ -44,36 +44,48 @@
 }
 
 #[test]
-fn a_model_that_ends_its_engines_is_tried_ever_more_rarely() {
-    let mut domain = crashes_as_one_group_forms();
+fn a_crashing_model_is_tried_with_increasing_waits() {
+    let mut domain = domain_with_crashing_model();
     domain.run_for(FIVE_MINUTES);
-    assert!(!domain.ended.is_empty());
-    assert!(most_ends(&domain) <= MOST_ENDS, "{:?}", ends(&domain));
+    assert!(!domain.crashes.is_empty());
+    assert!(
+        max_crashes(&domain) <= MAX_CRASHES,
+        "{:?}",
+        crash_counts(&domain)
+    );
 }
 
 #[test]
-fn a_trial_of_a_model_that_ends_its_engines_costs_one_engine() {
-    let mut domain = crashes_as_one_group_forms();
+fn an_attempt_to_load_a_crashing_model_costs_one_engine() {
+    let mut domain = domain_with_crashing_model();
     let (_, members) = domain.group_of(LARGE);
     domain.run_for(FIVE_MINUTES);
     // All engines of the group may crash twice, because a single crash does not identify the
     // model.
-    let most = 2 * members.len() + (MOST_ENDS - 2);
-    assert!(domain.ended.len() <= most, "{} crashes", domain.ended.len());
+    let limit = 2 * members.len() + (MAX_CRASHES - 2);
+    assert!(
+        domain.crashes.len() <= limit,
+        "{} crashes",
+        domain.crashes.len()
+    );
 }
 
 #[test]
-fn a_model_that_ends_its_engines_when_all_groups_form_is_tried_ever_more_rarely() {
+fn a_crashing_model_is_tried_with_increasing_waits_while_all_groups_form() {
     let mut domain = Domain::new(&[8, 8, 8]);
     domain.crashing_model = Some(ModelName::new(LARGE));
     domain.run_for(FIVE_MINUTES);
-    assert!(!domain.ended.is_empty());
-    assert!(most_ends(&domain) <= MOST_ENDS, "{:?}", ends(&domain));
+    assert!(!domain.crashes.is_empty());
+    assert!(
+        max_crashes(&domain) <= MAX_CRASHES,
+        "{:?}",
+        crash_counts(&domain)
+    );
 }
 
 #[test]
-fn the_other_model_goes_on_meanwhile() {
-    let mut domain = crashes_as_one_group_forms();
+fn a_crashing_model_does_not_affect_other_models() {
+    let mut domain = domain_with_crashing_model();
     let (small, large) = (domain.open_groups(SMALL), domain.open_groups(LARGE));
     domain.run_for(FIVE_MINUTES);
     assert_eq!(domain.open_groups(SMALL), small);
@@ -84,8 +96,8 @@
 }
 
 #[test]
-fn a_model_that_loads_again_is_served_after_the_next_trial() {
-    let mut domain = crashes_as_one_group_forms();
+fn a_model_that_loads_again_is_served_after_the_next_attempt() {
+    let mut domain = domain_with_crashing_model();
     let wanted = 4;
     domain.run_for(Duration::from_secs(20));
     domain.crashing_model = None;
@@ -97,7 +109,7 @@
 }
 
 #[test]
-fn engines_that_start_again_once_while_their_group_forms_join_it_at_once() {
+fn engines_that_restart_once_while_their_group_forms_join_it_immediately() {
     let mut domain = Domain::serving(&[8, 8, 8]);
     let wanted = domain.open_groups(LARGE);
     let (number, members) = domain.group_of(LARGE);
@@ -108,8 +120,8 @@
             && domain.stored.value.groups.len() >= 8
     });
     domain.run_for(Duration::from_millis(500));
-    for (life, member) in members.iter().enumerate() {
-        domain.restart(member, 100 + life as u64);
+    for (rank, member) in members.iter().enumerate() {
+        domain.restart(member, 100 + rank as u64);
     }
     let took = domain.run_until("group opened again", |domain| {
         domain.open_groups(LARGE) == wanted
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ordered_support::{Domain, LARGE, LOOK_TIMEOUT, SMALL, host};
+use ordered_support::{Domain, LARGE, PROBE_TIMEOUT, SMALL, host};
 use shalehinge::core::demand::{FleetWork, ModelWork};
 use shalehinge::core::engine::EnginePhase;
 use shalehinge::core::objects::GroupPhase;
@@ -40,42 +40,49 @@
     let domain = Domain::serving(&[9]);
     let used = domain.stored.value.used_hosts();
     let mut free = domain.engines.iter().filter(|(id, _)| !used.contains(id));
-    let (_, spare) = free.next().expect("one host is free");
-    assert_eq!(spare.group, None);
-    let mut models: Vec<&str> = spare.staged.iter().map(|model| model.as_str()).collect();
-    models.extend(spare.model.as_ref().map(|model| model.as_str()));
+    let (_, free_host) = free.next().expect("one host is free");
+    assert_eq!(free_host.group, None);
+    let mut models: Vec<&str> = free_host
+        .staged
+        .iter()
+        .map(|model| model.as_str())
+        .collect();
+    models.extend(free_host.model.as_ref().map(|model| model.as_str()));
     models.sort_unstable();
     assert_eq!(models, [LARGE, SMALL]);
 }
 
 /// Fails a member of a group of the model and waits until the group is formed again, which must
 /// not require a load.
-fn loses_a_member_without_a_load(domain: &mut Domain, model: &str) {
+fn lose_member_without_load(domain: &mut Domain, model: &str) {
     let wanted = domain.open_groups(model);
     let (number, members) = domain.group_of(model);
-    domain.go_dark(&members[1]);
+    domain.cut_off(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     domain.run_until("group formed again", |domain| {
         !domain.stored.value.groups.contains_key(&number) && domain.open_groups(model) == wanted
     });
-    assert!(domain.loads.is_empty(), "weights of {model} were loaded");
+    assert!(
+        domain.load_times.is_empty(),
+        "weights of {model} were loaded"
+    );
 }
 
 #[test]
 fn a_lost_member_of_either_model_is_replaced_without_a_load() {
     for model in [LARGE, SMALL] {
         let mut domain = Domain::serving(&[9]);
-        loses_a_member_without_a_load(&mut domain, model);
+        lose_member_without_load(&mut domain, model);
     }
 }
 
 #[test]
-fn members_that_hold_the_model_need_no_part_of_the_rate_of_loads() {
+fn members_that_hold_the_model_need_no_part_of_the_load_rate() {
     let mut domain = Domain::serving(&[9]);
     domain.set_load_rate(0.01);
     let (number, members) = domain.group_of(LARGE);
-    domain.go_dark(&members[1]);
+    domain.cut_off(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     let took = domain.run_until("group formed again", |domain| {
@@ -85,22 +92,22 @@
 }
 
 #[test]
-fn a_member_that_is_silent_while_its_group_stands_still_is_replaced() {
+fn a_silent_member_of_a_stalled_group_is_replaced() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    domain.go_dark(&members[2]);
+    domain.cut_off(&members[2]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
-    assert_eq!(domain.told_lost, [number], "routers are notified");
+    assert_eq!(domain.reported_lost, [number], "routers are notified");
     domain.engine(&members[2]).is_listed = false;
     domain.run_until("a small group is preempted", |domain| {
         domain.open_groups(LARGE) == 1
     });
     assert!(
-        domain.loads.is_empty(),
+        domain.load_times.is_empty(),
         "hosts with the weights were available"
     );
 }
@@ -116,7 +123,7 @@
 }
 
 #[test]
-fn a_member_that_only_the_list_lost_is_no_loss() {
+fn a_member_that_is_only_unlisted_does_not_dissolve_its_group() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     domain.engine(&members[1]).is_listed = false;
@@ -128,14 +135,14 @@
 }
 
 #[test]
-fn rank_zero_that_the_list_lost_is_a_loss_as_nobody_sends_there() {
+fn an_unlisted_rank_zero_dissolves_its_group() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     domain.engine(&members[0]).is_listed = false;
     domain.run_for(seconds(1));
     assert!(!domain.stored.value.groups.contains_key(&number));
     assert_eq!(
-        domain.told_lost,
+        domain.reported_lost,
         [],
         "it may still finish its requests, so routers are not notified"
     );
@@ -145,7 +152,7 @@
 fn a_list_that_is_older_than_the_assignment_dissolves_nothing() {
     let mut domain = Domain::new(&[8]);
     domain.run_for(Duration::from_millis(100));
-    let old_list = domain.list_as_it_is();
+    let old_list = domain.current_list();
     domain.run_until("groups serve", |domain| domain.open_groups(LARGE) == 1);
     domain.change_holder_with_list(old_list);
     let (number, _) = domain.group_of(LARGE);
@@ -154,21 +161,21 @@
 }
 
 #[test]
-fn standing_groups_are_kept_by_a_holder_that_starts_with_nothing() {
+fn a_new_holder_keeps_the_running_groups() {
     let mut domain = Domain::serving(&[8, 8]);
     let before = domain.stored.value.groups.clone();
-    let orders = domain.orders;
+    let order_count = domain.order_count;
     domain.change_holder();
     domain.run_for(seconds(10));
     assert_eq!(domain.stored.value.groups, before);
-    assert_eq!(domain.orders, orders, "no orders are sent");
+    assert_eq!(domain.order_count, order_count, "no orders are sent");
 }
 
 #[test]
-fn members_of_a_silent_rank_zero_join_nothing_before_it_is_surely_broken() {
+fn members_of_a_group_with_a_silent_rank_zero_are_not_reused_before_it_has_stalled() {
     let mut domain = Domain::serving(&[4, 4]);
     let (number, members) = domain.group_of(LARGE);
-    domain.go_dark(&members[0]);
+    domain.cut_off(&members[0]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     domain.run_until("group dissolved", |domain| {
@@ -186,61 +193,63 @@
 }
 
 #[test]
-fn orders_that_are_carried_out_late_put_no_host_in_two_groups() {
+fn late_orders_put_no_host_in_two_groups() {
     let mut domain = Domain::new(&[8]);
-    domain.loses_answers = true;
+    domain.drops_answers = true;
     domain.run_for(seconds(4));
-    domain.loses_answers = false;
+    domain.drops_answers = false;
     domain.run_for(seconds(3));
-    domain.land_late_orders();
+    domain.deliver_late_orders();
     domain.run_for(seconds(90));
     assert_eq!(domain.open_groups(LARGE) + domain.open_groups(SMALL), 3);
 }
 
 #[test]
-fn an_unanswered_order_to_a_host_that_lives_ends_no_group() {
+fn an_unanswered_order_to_a_live_host_ends_no_group() {
     let mut domain = Domain::new(&[8]);
-    domain.loses_answers = true;
+    domain.drops_answers = true;
     domain.run_for(seconds(6));
-    domain.loses_answers = false;
+    domain.drops_answers = false;
     domain.run_until("all groups serve", |domain| {
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
-    assert_eq!(domain.told_lost, [], "the hosts answered their probes");
+    assert_eq!(domain.reported_lost, [], "the hosts answered their probes");
 }
 
 #[test]
-fn a_host_that_leaves_order_and_look_unanswered_is_replaced_while_its_group_forms() {
+fn a_host_that_answers_neither_order_nor_probe_is_replaced_while_its_group_forms() {
     let mut domain = Domain::new(&[9]);
-    let dark = host(0);
-    domain.go_dark(&dark);
+    let failed = host(0);
+    domain.cut_off(&failed);
     domain.run_until("all groups serve without it", |domain| {
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
-    assert!(!domain.stored.value.uses(&dark) || domain.stored.value.releasing.contains_key(&dark));
+    assert!(
+        !domain.stored.value.uses(&failed) || domain.stored.value.releasing.contains_key(&failed)
+    );
 }
 
 #[test]
-fn a_member_that_left_as_planned_and_listens_no_more_lets_its_group_finish() {
+fn a_group_finishes_after_a_leaving_member_stops_answering() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(SMALL);
     domain.engine(&members[1]).is_listed = false;
-    domain.go_dark(&members[1]);
+    domain.cut_off(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     domain.run_until("group retired", |domain| {
         let group = domain.stored.value.groups.get(&number);
         group.is_none_or(|group| group.phase == GroupPhase::Retiring)
     });
-    assert_eq!(domain.told_lost, [], "no router aborts its requests");
+    assert_eq!(domain.reported_lost, [], "no router aborts its requests");
     assert!(!domain.stored.value.releasing.contains_key(&members[0]));
 }
 
 #[test]
-fn a_member_that_only_this_daemon_cannot_reach_ends_no_group_that_moves() {
+fn a_member_unreachable_for_this_daemon_alone_ends_no_group() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    domain.go_dark(&members[1]);
+    domain.cut_off(&members[1]);
     let now = domain.now;
     domain.controller.on_order_unanswered(now, now, &members[1]);
     domain.run_for(seconds(5));
@@ -256,38 +265,38 @@
 }
 
 #[test]
-fn a_suspected_group_that_moves_for_other_daemons_outlives_a_silent_member() {
+fn a_suspected_group_that_produces_output_for_other_daemons_is_kept() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    domain.go_dark(&members[1]);
-    domain.moving = vec![number];
+    domain.cut_off(&members[1]);
+    domain.producing_output = vec![number];
     for _ in 0..50 {
         let now = domain.now;
         domain.controller.suspect(now, number);
         domain.run_for(Duration::from_millis(100));
     }
     assert!(domain.stored.value.groups.contains_key(&number));
-    domain.moving.clear();
+    domain.producing_output.clear();
     domain.run_until("group dissolved once it produces no output", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
 }
 
 #[test]
-fn one_look_without_an_answer_is_no_loss() {
+fn one_unanswered_probe_is_no_loss() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    domain.give_up_look(&members[1], LOOK_TIMEOUT * 2);
+    domain.time_out_probe(&members[1], PROBE_TIMEOUT * 2);
     domain.run_for(seconds(3));
     assert!(domain.stored.value.groups.contains_key(&number));
 }
 
 #[test]
-fn looks_that_ended_while_the_daemon_stood_still_are_no_loss() {
+fn probes_that_ended_while_the_daemon_was_paused_are_no_loss() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     for age in [900, 800, 700] {
-        domain.give_up_look(&members[1], Duration::from_millis(age));
+        domain.time_out_probe(&members[1], Duration::from_millis(age));
     }
     domain.run_for(seconds(3));
     assert!(domain.stored.value.groups.contains_key(&number));
@@ -298,30 +307,30 @@
     let mut domain = Domain::new(&[8, 8, 8, 8]);
     domain.loads_are_unlimited = false;
     domain.run_for(seconds(40));
-    for (index, first) in domain.loads.iter().enumerate() {
-        let in_window = domain.loads[index..]
+    for (index, first) in domain.load_times.iter().enumerate() {
+        let in_window = domain.load_times[index..]
             .iter()
             .filter(|at| at.since(*first) < seconds(5));
         // The rate is 4 loads per second over 5 s; up to 5 more are tolerated.
         assert!(in_window.count() <= 25);
     }
-    assert!(domain.loads.len() >= 32, "all hosts load eventually");
+    assert!(domain.load_times.len() >= 32, "all hosts load eventually");
 }
 
 /// Adds hosts without weights, in a fabric domain of their own.
-fn add_empty_hosts(domain: &mut Domain, count: usize) {
+fn add_hosts_without_weights(domain: &mut Domain, count: usize) {
     for _ in 0..count {
         domain.add_host(1);
     }
 }
 
 #[test]
-fn second_weights_leave_half_of_the_full_speed_loads_to_groups_that_form() {
+fn staging_leaves_half_of_the_full_speed_loads_to_forming_groups() {
     let mut domain = Domain::serving(&[8]);
     domain.set_loads(100.0, Some(6.0));
-    add_empty_hosts(&mut domain, 20);
+    add_hosts_without_weights(&mut domain, 20);
     domain.run_for(seconds(10));
-    let second_weights = domain.stages.len();
+    let second_weights = domain.stage_times.len();
     assert!((1..=3).contains(&second_weights), "{second_weights}");
 }
 
@@ -345,7 +354,7 @@
 fn lose_large_group(domain: &mut Domain, large: f64, small: f64) {
     let (number, members) = domain.group_of(LARGE);
     for member in &members[1..3] {
-        domain.go_dark(member);
+        domain.cut_off(member);
         domain.engine(member).is_listed = false;
     }
     domain.record_work(&work(large, small));
@@ -354,25 +363,25 @@
 }
 
 #[test]
-fn a_small_group_that_has_less_to_do_is_preempted() {
+fn a_group_of_a_model_with_less_work_is_preempted() {
     let mut domain = Domain::serving(&[8, 8]);
     lose_large_group(&mut domain, 200.0, 5.0);
     domain.run_until("second large group formed again", |domain| {
         domain.open_groups(LARGE) == 2
     });
     assert!(
-        domain.loads.is_empty(),
+        domain.load_times.is_empty(),
         "hosts with the weights were available"
     );
 }
 
 #[test]
-fn work_of_which_little_is_known_changes_no_order() {
+fn too_few_sampled_requests_do_not_affect_preemption() {
     let mut domain = Domain::serving(&[8, 8]);
     lose_large_group(&mut domain, 200.0, 5.0);
-    let mut seen = work(5.0, 200.0);
-    seen.sampled_requests = 20.0;
-    domain.record_work(&seen);
+    let mut little_work = work(5.0, 200.0);
+    little_work.sampled_requests = 20.0;
+    domain.record_work(&little_work);
     domain.run_until("preemption as without an estimate", |domain| {
         domain.open_groups(LARGE) == 2
     });
@@ -390,18 +399,18 @@
 }
 
 #[test]
-fn a_stray_host_leaves_its_old_group_before_it_is_used() {
+fn a_host_of_a_dissolved_group_leaves_it_before_it_is_reused() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     // The host is cut off and its group is dissolved without it. Then it is reachable again, and
     // still open.
-    domain.go_dark(&members[0]);
+    domain.cut_off(&members[0]);
     domain.engine(&members[0]).is_listed = false;
     domain.run_for(seconds(10));
     assert!(!domain.stored.value.groups.contains_key(&number));
-    let head = domain.engine(&members[0]);
-    head.is_reachable = true;
-    head.is_listed = true;
+    let rank_zero = domain.engine(&members[0]);
+    rank_zero.is_reachable = true;
+    rank_zero.is_listed = true;
     domain.run_until("host left its old group", |domain| {
         domain.engines[&members[0]].group != Some(number)
     });
@@ -415,13 +424,13 @@
 /// leave. The list showed the member in its old group, but was older than the new holder's first
 /// read of the assignment and was therefore ignored.
 #[test]
-fn a_new_holder_with_an_old_list_uses_no_host_that_it_shows_in_a_group() {
+fn a_new_holder_with_an_old_list_uses_no_host_that_is_listed_in_a_group() {
     let mut domain = Domain::serving(&[6]);
     let (number, members) = domain.group_of(LARGE);
-    let (_, pair) = domain.group_of(SMALL);
+    let (_, small_members) = domain.group_of(SMALL);
     let lose = |domain: &mut Domain, host: &HostId| {
         domain.engine(host).is_listed = false;
-        domain.go_dark(host);
+        domain.cut_off(host);
     };
     lose(&mut domain, &members[0]);
     lose(&mut domain, &members[2]);
@@ -430,29 +439,29 @@
         left(&members[1]) && left(&members[3])
     });
     // One free host remains, which could form a small group with the returning member.
-    for host in [&members[1], &members[3], &pair[0]] {
+    for host in [&members[1], &members[3], &small_members[0]] {
         lose(&mut domain, host);
     }
     domain.run_for(seconds(8));
     assert!(!domain.stored.value.groups.contains_key(&number));
     domain.engine(&members[2]).is_reachable = true;
     domain.engine(&members[2]).is_listed = true;
-    let list = domain.list_with_what_is_new();
+    let list = domain.updated_list();
     domain.change_holder_with_list(list);
     domain.run_for(seconds(1));
     assert_eq!(domain.engines[&members[2]].group, Some(number));
-    domain.list_moves = true;
+    domain.list_updates = true;
     domain.run_until("member left its old group and is used again", |domain| {
         domain.open_groups(SMALL) == 1
     });
 }
 
 #[test]
-fn a_member_that_is_gone_keeps_no_other_host_in_a_group_that_retires() {
+fn a_lost_member_does_not_block_a_retiring_group() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     domain.engine(&members[1]).is_listed = false;
-    domain.go_dark(&members[1]);
+    domain.cut_off(&members[1]);
     let now = domain.now;
     domain.controller.suspect(now, number);
     let waited = domain.run_until("the other members are released", |domain| {
@@ -468,20 +477,20 @@
         let mut domain = Domain::serving(&[9]);
         domain.change_holder();
         domain.run_for(seconds(1));
-        loses_a_member_without_a_load(&mut domain, model);
+        lose_member_without_load(&mut domain, model);
     }
 }
 
 #[test]
-fn hosts_that_fell_silent_together_join_no_new_group_while_the_list_still_shows_them() {
+fn hosts_that_became_silent_together_join_no_new_group_while_listed() {
     let mut domain = Domain::serving(&[11]);
     let used = domain.stored.value.used_hosts();
     let mut free = domain.engines.keys().filter(|id| !used.contains(*id));
-    let spare = free.next().expect("one host is free").clone();
+    let free_host = free.next().expect("one host is free").clone();
     let (number, members) = domain.group_of(SMALL);
-    let silent = [&spare, &members[1]];
+    let silent = [&free_host, &members[1]];
     for host in silent {
-        domain.go_dark(host);
+        domain.cut_off(host);
     }
     let now = domain.now;
     domain.controller.suspect(now, number);
@@ -501,18 +510,18 @@
 }
 
 /// Stops updates of the host list for 5 s; the next list lacks this host.
-fn list_returns_without(domain: &mut Domain, host: &HostId) {
-    domain.list_moves = false;
+fn restore_list_without(domain: &mut Domain, host: &HostId) {
+    domain.list_updates = false;
     domain.run_for(seconds(5));
     domain.engine(host).is_listed = false;
-    domain.list_moves = true;
+    domain.list_updates = true;
 }
 
 #[test]
-fn rank_zero_that_is_missing_just_after_an_outage_may_still_come_back() {
+fn a_rank_zero_that_is_unlisted_just_after_an_outage_may_reappear() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    list_returns_without(&mut domain, &members[0]);
+    restore_list_without(&mut domain, &members[0]);
     domain.run_for(Duration::from_millis(1_900));
     domain.engine(&members[0]).is_listed = true;
     domain.run_for(seconds(3));
@@ -520,10 +529,10 @@
 }
 
 #[test]
-fn rank_zero_that_stays_missing_after_an_outage_is_lost() {
+fn a_rank_zero_that_stays_unlisted_after_an_outage_is_lost() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    list_returns_without(&mut domain, &members[0]);
+    restore_list_without(&mut domain, &members[0]);
     let waited = domain.run_until("group dissolved", |domain| {
         !domain.stored.value.groups.contains_key(&number)
     });
@@ -544,7 +553,7 @@
 /// routers with the same problem saw no output. It dissolved all nine groups of its failure
 /// domain, none of which had lost a member, and cut off the streams of 200 callers.
 #[test]
-fn a_holder_that_no_host_answers_dissolves_nothing() {
+fn a_holder_without_answers_dissolves_nothing() {
     for stall_ms in [500, 2_000, 5_000] {
         let mut domain = Domain::serving(&[9, 9]);
         let before = domain.stored.value.groups.clone();
@@ -560,13 +569,13 @@
         }
         domain.run_for(seconds(5));
         assert_eq!(domain.stored.value.groups, before, "after {stall_ms} ms");
-        assert_eq!(domain.told_lost, []);
+        assert_eq!(domain.reported_lost, []);
     }
 }
 
 /// The same failure, with most probes answered too late.
 #[test]
-fn a_holder_that_few_hosts_answer_dissolves_nothing() {
+fn a_holder_with_few_answers_dissolves_nothing() {
     let mut domain = Domain::serving(&[9, 9]);
     let before = domain.stored.value.groups.clone();
     for round in 0..6 {
@@ -584,7 +593,7 @@
 }
 
 #[test]
-fn a_loss_is_found_as_soon_as_hosts_answer_again() {
+fn a_loss_is_detected_as_soon_as_hosts_answer_again() {
     let mut domain = Domain::serving(&[9, 9]);
     let (number, members) = domain.group_of(LARGE);
     for engine in domain.engines.values_mut() {
@@ -601,21 +610,21 @@
         !domain.stored.value.groups.contains_key(&number)
     });
     assert!(took < seconds(1), "{took:?}");
-    assert_eq!(domain.told_lost, [number]);
+    assert_eq!(domain.reported_lost, [number]);
 }
 
 #[test]
-fn a_fabric_domain_that_goes_dark_is_found_as_soon_as_one_host() {
+fn a_failed_fabric_domain_is_detected_as_fast_as_one_host() {
     let mut domain = Domain::serving(&[9, 9]);
-    let dark: Vec<HostId> = (0..9).map(host).collect();
-    for id in &dark {
-        domain.go_dark(id);
+    let failed: Vec<HostId> = (0..9).map(host).collect();
+    for id in &failed {
+        domain.cut_off(id);
     }
     let value = &domain.stored.value;
     let lost: Vec<_> = value
         .groups
         .iter()
-        .filter(|(_, group)| dark.contains(&group.members[0].host))
+        .filter(|(_, group)| failed.contains(&group.members[0].host))
         .map(|(number, _)| *number)
         .collect();
     assert!(lost.len() >= 2, "the fabric domain has groups");
@@ -632,7 +641,7 @@
 
 /// Restarts a member of a serving group. Returns how long the group was kept after that, and
 /// waits until a complete group serves again.
-fn dissolves_restarted(domain: &mut Domain, rank: usize, started: u64) -> Duration {
+fn time_until_dissolved(domain: &mut Domain, rank: usize, started: u64) -> Duration {
     let (number, members) = domain.group_of(LARGE);
     domain.restart(&members[rank], started);
     let kept = domain.run_until("group dissolved", |domain| {
@@ -645,26 +654,26 @@
 }
 
 #[test]
-fn a_group_whose_member_started_again_is_formed_anew_at_once() {
+fn a_group_with_a_restarted_member_is_replaced_immediately() {
     for rank in [0, 2] {
         let mut domain = Domain::serving(&[8]);
-        let kept = dissolves_restarted(&mut domain, rank, 2_000_000);
+        let kept = time_until_dissolved(&mut domain, rank, 2_000_000);
         assert!(kept < Duration::from_millis(200), "rank {rank}: {kept:?}");
     }
 }
 
 #[test]
-fn a_life_that_began_earlier_by_the_clock_of_its_host_is_another_one_too() {
+fn a_restart_with_an_earlier_start_time_is_detected() {
     let mut domain = Domain::serving(&[8]);
-    let kept = dissolves_restarted(&mut domain, 1, 998_000);
+    let kept = time_until_dissolved(&mut domain, 1, 998_000);
     assert!(kept < Duration::from_millis(200), "{kept:?}");
 }
 
 #[test]
-fn a_member_that_started_again_is_known_by_its_own_answer_before_the_list_shows_it() {
+fn a_restarted_member_is_detected_by_its_answer_before_the_list_shows_it() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
-    domain.list_moves = false;
+    domain.list_updates = false;
     domain.restart(&members[1], 2_000_000);
     let now = domain.now;
     domain.controller.suspect(now, number);
@@ -673,7 +682,7 @@
 }
 
 #[test]
-fn all_members_of_a_group_that_start_again_at_once_join_a_new_one() {
+fn members_that_restart_together_form_a_new_group() {
     let mut domain = Domain::serving(&[8]);
     let (number, members) = domain.group_of(LARGE);
     for (rank, host) in members.iter().enumerate() {
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -27,9 +27,9 @@
 
 const STEP: Duration = Duration::from_millis(50);
 /// Time after which a probe is considered unanswered.
-pub const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
-const WARM_JOIN: Duration = Duration::from_millis(1_500);
-const COLD_JOIN: Duration = Duration::from_secs(15);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+const WARM_JOIN_TIME: Duration = Duration::from_millis(1_500);
+const COLD_JOIN_TIME: Duration = Duration::from_secs(15);
 
 pub const LARGE: &str = "s/large";
 pub const SMALL: &str = "s/small";
@@ -48,7 +48,7 @@
     fabric: usize,
     members: Vec<HostId>,
     ready_at: Timestamp,
-    newest: GroupNumber,
+    newest_group: GroupNumber,
     started: EngineStart,
 }
 
@@ -59,25 +59,25 @@
     pub stored: Versioned<Assignment>,
     pub now: Timestamp,
     /// Whether the host list is still updated.
-    pub list_moves: bool,
+    pub list_updates: bool,
     pub loads_are_unlimited: bool,
-    pub loads: Vec<Timestamp>,
+    pub load_times: Vec<Timestamp>,
     /// Times at which weights of second models were staged.
-    pub stages: Vec<Timestamp>,
-    pub orders: usize,
+    pub stage_times: Vec<Timestamp>,
+    pub order_count: usize,
     /// Orders that were not answered and are carried out later.
-    pub late: Vec<(HostId, Order)>,
-    pub loses_answers: bool,
+    pub late_orders: Vec<(HostId, Order)>,
+    pub drops_answers: bool,
     /// Groups that produce output according to some router.
-    pub moving: Vec<GroupNumber>,
+    pub producing_output: Vec<GroupNumber>,
     /// Groups that were reported to routers as lost.
-    pub told_lost: Vec<GroupNumber>,
+    pub reported_lost: Vec<GroupNumber>,
     /// Whether the stored assignment cannot be decoded.
     pub is_foreign: bool,
     /// Model whose loading crashes the engine, which then restarts.
     pub crashing_model: Option<ModelName>,
     /// Engines that crashed during a load, and when.
-    pub ended: Vec<(Timestamp, HostId)>,
+    pub crashes: Vec<(Timestamp, HostId)>,
     state: FleetState,
     list_version: u64,
     as_of: Timestamp,
@@ -148,18 +148,18 @@
                 value: Assignment::default(),
             },
             now: Timestamp::from_millis(1_000),
-            list_moves: true,
+            list_updates: true,
             loads_are_unlimited: true,
-            loads: Vec::new(),
-            stages: Vec::new(),
-            orders: 0,
-            late: Vec::new(),
-            loses_answers: false,
-            moving: Vec::new(),
-            told_lost: Vec::new(),
+            load_times: Vec::new(),
+            stage_times: Vec::new(),
+            order_count: 0,
+            late_orders: Vec::new(),
+            drops_answers: false,
+            producing_output: Vec::new(),
+            reported_lost: Vec::new(),
             is_foreign: false,
             crashing_model: None,
-            ended: Vec::new(),
+            crashes: Vec::new(),
             state,
             list_version: 0,
             as_of: Timestamp::ZERO,
@@ -193,8 +193,8 @@
         let mut domain = Self::new(fabrics);
         domain.run_for(Duration::from_secs(90));
         domain.loads_are_unlimited = false;
-        domain.loads.clear();
-        domain.stages.clear();
+        domain.load_times.clear();
+        domain.stage_times.clear();
         domain
     }
 
@@ -218,24 +218,24 @@
 
     /// Runs until the condition holds, for at most a minute. Returns the elapsed time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
-        let began = self.now;
+        let started_at = self.now;
         while !condition(self) {
             self.step();
-            let passed = self.now.since(began);
-            assert!(passed < Duration::from_secs(60), "not within 60 s: {what}");
+            let elapsed = self.now.since(started_at);
+            assert!(elapsed < Duration::from_secs(60), "not within 60 s: {what}");
         }
-        self.now.since(began)
+        self.now.since(started_at)
     }
 
     /// The current host list, for a successor that lags behind.
-    pub fn list_as_it_is(&self) -> (FleetState, Timestamp) {
+    pub fn current_list(&self) -> (FleetState, Timestamp) {
         (self.state.clone(), self.as_of)
     }
 
     /// The updated host list, as it is just before a successor first reads the assignment.
-    pub fn list_with_what_is_new(&mut self) -> (FleetState, Timestamp) {
+    pub fn updated_list(&mut self) -> (FleetState, Timestamp) {
         self.update_list();
-        self.list_as_it_is()
+        self.current_list()
     }
 
     /// Hands control over to another daemon that has only this list and receives no newer one.
@@ -243,7 +243,7 @@
         self.change_holder();
         self.state = state;
         self.as_of = as_of;
-        self.list_moves = false;
+        self.list_updates = false;
     }
 
     /// Hands control over to another daemon that knows only the stored assignment.
@@ -269,12 +269,12 @@
             .controller
             .tick(self.now, epoch, &self.state, listing, operation);
         for action in actions {
-            self.act(action);
+            self.handle(action);
         }
     }
 
     fn update_list(&mut self) {
-        if !self.list_moves {
+        if !self.list_updates {
             return;
         }
         self.as_of = self.now;
@@ -290,7 +290,7 @@
         });
     }
 
-    fn act(&mut self, action: ControllerAction) {
+    fn handle(&mut self, action: ControllerAction) {
         match action {
             ControllerAction::Read if self.is_foreign => {
                 self.controller.on_foreign(self.stored.version);
@@ -314,29 +314,29 @@
                     let status = engine.status(&member.host);
                     self.controller.on_status(self.now, self.now, status);
                 } else {
-                    self.give_up_look(&member.host, LOOK_TIMEOUT);
+                    self.time_out_probe(&member.host, PROBE_TIMEOUT);
                 }
             }
             ControllerAction::AskRecentOutput => {
-                for number in self.moving.clone() {
+                for number in self.producing_output.clone() {
                     self.controller.record_output(self.now, number);
                 }
             }
-            ControllerAction::NotifyLost(number) => self.told_lost.push(number),
+            ControllerAction::NotifyLost(number) => self.reported_lost.push(number),
             ControllerAction::Log(_) => {}
         }
     }
 
     /// Reports a probe, sent `after` ago, as unanswered.
-    pub fn give_up_look(&mut self, host: &HostId, after: Duration) {
+    pub fn time_out_probe(&mut self, host: &HostId, after: Duration) {
         let asked_at = self.now.minus(after);
         self.controller.on_no_status(self.now, asked_at, host);
     }
 
     fn order(&mut self, host: HostId, order: Order) {
-        self.orders += 1;
-        if self.loses_answers {
-            self.late.push((host.clone(), order));
+        self.order_count += 1;
+        if self.drops_answers {
+            self.late_orders.push((host.clone(), order));
             self.controller
                 .on_order_unanswered(self.now, self.now, &host);
             return;
@@ -357,8 +357,8 @@
     }
 
     /// Carries out the orders that were not answered.
-    pub fn land_late_orders(&mut self) {
-        for (host, order) in std::mem::take(&mut self.late) {
+    pub fn deliver_late_orders(&mut self) {
+        for (host, order) in std::mem::take(&mut self.late_orders) {
             self.carry_out(&host, &order);
         }
     }
@@ -367,31 +367,35 @@
         let now = self.now;
         match &order.command {
             Command::Load(load) => {
-                if order.group < self.engines[host].newest {
+                if order.group < self.engines[host].newest_group {
                     return false;
                 }
                 if self.engines[host].group == Some(order.group) {
                     return true;
                 }
-                self.check_not_in_open_group(host, order.group);
+                self.assert_not_in_open_group(host, order.group);
                 if self.crashing_model.as_ref() == Some(&load.model) {
-                    self.ended.push((now, host.clone()));
-                    self.restart(host, 1_000_000 + self.ended.len() as u64);
+                    self.crashes.push((now, host.clone()));
+                    self.restart(host, 1_000_000 + self.crashes.len() as u64);
                     return true;
                 }
                 let engine = self.engines.get_mut(host).expect("known");
                 let is_warm = engine.staged.contains(&load.model)
                     || engine.model.as_ref() == Some(&load.model);
                 if !is_warm {
-                    self.loads.push(now);
+                    self.load_times.push(now);
                     engine.staged = vec![load.model.clone()];
                 }
-                let time = if is_warm { WARM_JOIN } else { COLD_JOIN };
-                let free = self.loads_are_unlimited && !is_warm;
-                engine.ready_at = now + if free { time / 10 } else { time };
+                let time = if is_warm {
+                    WARM_JOIN_TIME
+                } else {
+                    COLD_JOIN_TIME
+                };
+                let is_unlimited = self.loads_are_unlimited && !is_warm;
+                engine.ready_at = now + if is_unlimited { time / 10 } else { time };
                 engine.phase = EnginePhase::Loading;
                 engine.group = Some(order.group);
-                engine.newest = order.group;
+                engine.newest_group = order.group;
                 engine.model = Some(load.model.clone());
                 engine.members = load.hosts.clone();
                 true
@@ -425,8 +429,8 @@
                 true
             }
             Command::Stage { model } => {
-                self.loads.push(now);
-                self.stages.push(now);
+                self.load_times.push(now);
+                self.stage_times.push(now);
                 let engine = self.engines.get_mut(host).expect("known");
                 engine.staged = vec![model.clone()];
                 true
@@ -434,13 +438,13 @@
         }
     }
 
-    fn check_not_in_open_group(&self, host: &HostId, joins: GroupNumber) {
+    fn assert_not_in_open_group(&self, host: &HostId, joins: GroupNumber) {
         let engine = &self.engines[host];
-        let Some(head) = engine.members.first().filter(|_| engine.group.is_some()) else {
+        let Some(rank_zero) = engine.members.first().filter(|_| engine.group.is_some()) else {
             return;
         };
-        let head = &self.engines[head];
-        let is_open = head.group == engine.group && head.phase == EnginePhase::Serving;
+        let rank_zero = &self.engines[rank_zero];
+        let is_open = rank_zero.group == engine.group && rank_zero.phase == EnginePhase::Serving;
         assert!(
             !is_open,
             "{host} joins {} while {:?} takes requests",
@@ -453,11 +457,11 @@
         let groups = self.stored.value.groups.iter();
         groups
             .filter(|(number, group)| {
-                let head = &self.engines[&group.members[0].host];
+                let rank_zero = &self.engines[&group.members[0].host];
                 group.model.as_str() == model
                     && group.phase == GroupPhase::Serving
-                    && head.group == Some(**number)
-                    && head.phase == EnginePhase::Serving
+                    && rank_zero.group == Some(**number)
+                    && rank_zero.phase == EnginePhase::Serving
             })
             .count()
     }
@@ -485,12 +489,12 @@
         engine.phase = EnginePhase::Idle;
         engine.model = None;
         engine.members = Vec::new();
-        engine.newest = GroupNumber(0);
+        engine.newest_group = GroupNumber(0);
         engine.started = EngineStart(started);
     }
 
     /// Cuts off the host: it answers no requests, but stays in the host list.
-    pub fn go_dark(&mut self, host: &HostId) {
+    pub fn cut_off(&mut self, host: &HostId) {
         self.engine(host).is_reachable = false;
     }
 }
@@ -508,7 +512,7 @@
             members: Vec::new(),
             model: None,
             ready_at: Timestamp::ZERO,
-            newest: GroupNumber(0),
+            newest_group: GroupNumber(0),
             started: EngineStart(1_000_000),
         }
     }
--- a/shalehinge/tests/placement.rs
+++ b/shalehinge/tests/placement.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_group_keeps_to_one_fabric_domain() {
+fn a_group_is_placed_in_one_fabric_domain() {
     let mut domain = Domain::new().fabric("a", 3).fabric("b", 4);
     domain.want("m", 4, 1);
     let steps = domain.steps();
@@ -36,18 +36,18 @@
 }
 
 #[test]
-fn nothing_is_formed_where_no_complete_group_can_be() {
+fn no_incomplete_group_is_formed() {
     let mut domain = Domain::new().fabric("a", 3).fabric("b", 3);
     domain.want("m", 4, 1);
     assert_eq!(domain.steps(), []);
 }
 
 #[test]
-fn a_group_that_lost_a_member_is_dissolved_and_its_survivors_are_used_again() {
+fn a_group_that_lost_a_member_is_dissolved_and_its_survivors_are_reused() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
     domain.run_until_stable();
-    domain.lose("a1");
+    domain.lose_host("a1");
     let steps = domain.run_until_stable();
     assert_eq!(formed(&steps), [("m", vec!["a0", "a2", "a3", "a4"])]);
 }
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_drained_host_without_a_spare_retires_its_group_all_the_same() {
+fn a_drained_host_without_a_spare_retires_its_group_without_replacement() {
     let mut domain = Domain::new().fabric("a", 4);
     domain.want("m", 4, 1);
     domain.run_until_stable();
@@ -79,23 +79,23 @@
 }
 
 #[test]
-fn a_roll_takes_one_group_at_a_time_and_keeps_the_rest_serving() {
+fn a_version_change_replaces_one_group_at_a_time() {
     let mut domain = Domain::new().fabric("a", 12);
     domain.want("m", 4, 3);
     domain.run_until_stable();
-    domain.roll("m", "v2");
-    let mut fewest = 3;
+    domain.change_version("m", "v2");
+    let mut min_serving = 3;
     for _ in 0..100 {
         let steps = domain.steps();
         if steps.is_empty() && domain.all_of_version("v2") {
             break;
         }
         domain.apply(&steps);
-        fewest = fewest.min(domain.count(GroupPhase::Serving));
+        min_serving = min_serving.min(domain.count(GroupPhase::Serving));
         domain.finish_changes();
     }
     assert!(domain.all_of_version("v2"));
-    assert_eq!(fewest, 2);
+    assert_eq!(min_serving, 2);
 }
 
 #[test]
@@ -105,7 +105,7 @@
     domain.want("small", 2, 1);
     domain.run_until_stable();
     let mut domain = domain.fabric("b", 2);
-    domain.lose("a0");
+    domain.lose_host("a0");
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -125,18 +125,18 @@
 }
 
 #[test]
-fn a_dead_host_that_can_not_acknowledge_holds_up_nothing() {
+fn a_failed_host_that_cannot_acknowledge_blocks_no_group() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
     domain.run_until_stable();
-    domain.lose("a1");
+    domain.lose_host("a1");
     domain.run_until_stable();
     assert_eq!(domain.releasing(), ["a1"]);
     assert_eq!(domain.count(GroupPhase::Serving), 1);
 }
 
 #[test]
-fn a_customer_above_its_share_yields_to_one_below() {
+fn a_customer_above_its_share_yields_to_one_below_its_share() {
     let mut domain = Domain::new().fabric("a", 8);
     domain.customer("one", 1).customer("other", 1);
     domain.want_for("one", "first", 4, 2);
@@ -181,12 +181,12 @@
 fn large_group_without_a_spare() -> Domain {
     let mut domain = Domain::new().fabric("a", 10);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 1);
     domain.want("small", 2, 3);
     domain.run_until_stable();
     let members = domain.members_of(0);
-    domain.lose(&members[1]);
+    domain.lose_host(&members[1]);
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_small_group_is_preempted_where_the_large_model_lacks_more() {
+fn a_small_group_is_preempted_where_the_large_model_has_the_larger_shortage() {
     let mut domain = large_group_without_a_spare();
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1);
@@ -208,14 +208,14 @@
 }
 
 #[test]
-fn no_group_is_preempted_for_one_that_would_have_to_load() {
+fn no_group_is_preempted_where_weights_would_have_to_be_loaded() {
     let mut domain = large_group_without_a_spare();
-    domain.hold(&["small"]);
+    domain.hold_weights(&["small"]);
     assert_eq!(retired(&domain.steps()), []);
 }
 
 #[test]
-fn a_group_is_preempted_only_if_its_model_is_still_served_better() {
+fn a_group_is_preempted_only_if_its_model_stays_better_supplied() {
     let mut domain = large_group_without_a_spare();
     domain.want("small", 2, 3);
     domain.want("large", 4, 1);
@@ -230,12 +230,12 @@
 fn one_of_two_large_groups_lost() -> Domain {
     let mut domain = Domain::new().fabric("a", 6).fabric("b", 4).fabric("c", 4);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 2);
     domain.run_until_stable();
     domain.want("small", 2, 3);
     domain.run_until_stable();
-    domain.lose("a0");
+    domain.lose_host("a0");
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_group_is_preempted_for_a_model_that_has_less_for_its_work() {
+fn a_group_is_preempted_for_a_model_with_less_supply_for_its_work() {
     let mut domain = one_of_two_large_groups_lost();
     domain.replica_demand = [("large", 3.0), ("small", 1.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_group_is_not_preempted_for_a_model_that_has_more_for_its_work() {
+fn no_group_is_preempted_for_a_model_with_more_supply_for_its_work() {
     let mut domain = one_of_two_large_groups_lost();
     assert_eq!(
         retired(&domain.steps()).len(),
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_small_group_is_preempted_where_a_spare_would_have_to_load() {
+fn a_small_group_is_preempted_where_the_spare_host_lacks_the_weights() {
     let mut domain = large_group_without_a_spare();
     domain.add_hosts("a", 10..11);
     let steps = domain.steps();
@@ -287,13 +287,13 @@
 /// The unreachable host is not counted, so that one group less is wanted. The serving group must
 /// not be treated as surplus while the other one may have lost a member.
 #[test]
-fn a_group_that_serves_is_no_surplus_while_another_may_have_lost_a_member() {
+fn a_serving_group_is_no_surplus_while_another_may_have_lost_a_member() {
     let mut domain = Domain::new().fabric("a", 5).fabric("b", 5);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 2);
     domain.run_until_stable();
-    domain.silence("a1");
+    domain.mark_unreachable("a1");
     domain.want("large", 4, 1);
     domain.want("small", 2, 1);
     assert_eq!(retired(&domain.steps()), []);
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -20,7 +20,7 @@
     fleet: FleetConfig,
     hosts: HostList,
     assignment: Assignment,
-    down: BTreeSet<HostId>,
+    unreachable: BTreeSet<HostId>,
     lost: BTreeMap<GroupNumber, Option<HostId>>,
     /// Whether replica counts follow from work shares, so that models preempt each other.
     pub follows_shares: bool,
@@ -36,7 +36,7 @@
             fleet: FleetConfig::default(),
             hosts: HostList::default(),
             assignment: Assignment::default(),
-            down: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             lost: BTreeMap::new(),
             follows_shares: false,
             held: HeldWeights::new(),
@@ -73,7 +73,7 @@
     }
 
     /// Makes all hosts hold the weights of these models.
-    pub fn hold(&mut self, models: &[&str]) {
+    pub fn hold_weights(&mut self, models: &[&str]) {
         let version = ModelVersion::new("v1");
         let held: Vec<_> = models
             .iter()
@@ -107,7 +107,7 @@
         self.fleet.models.insert(ModelName::new(model), intent);
     }
 
-    pub fn roll(&mut self, model: &str, version: &str) {
+    pub fn change_version(&mut self, model: &str, version: &str) {
         let intent = self.fleet.models.get_mut(&ModelName::new(model));
         intent.expect("wanted").version = ModelVersion::new(version);
     }
@@ -117,18 +117,18 @@
     }
 
     /// Fails a host and marks its group as lost.
-    pub fn lose(&mut self, host: &str) {
+    pub fn lose_host(&mut self, host: &str) {
         let host = HostId::new(host);
         let groups = self.assignment.groups.iter();
         let lost = groups.filter(|(_, group)| group.contains(&host));
         self.lost
             .extend(lost.map(|(number, _)| (*number, Some(host.clone()))));
-        self.down.insert(host);
+        self.unreachable.insert(host);
     }
 
     /// Marks a host as unreachable without marking its group as lost.
-    pub fn silence(&mut self, host: &str) {
-        self.down.insert(HostId::new(host));
+    pub fn mark_unreachable(&mut self, host: &str) {
+        self.unreachable.insert(HostId::new(host));
     }
 
     pub fn steps(&self) -> Vec<PlacementStep> {
@@ -137,7 +137,7 @@
             fleet: &self.fleet,
             hosts: &self.hosts,
             assignment: &self.assignment,
-            unreachable: &self.down,
+            unreachable: &self.unreachable,
             lost: &self.lost,
             held: &self.held,
             choice: HostChoice::BestFit,
@@ -170,9 +170,11 @@
     /// Lets all forming groups serve, and all live hosts confirm their release.
     pub fn finish_changes(&mut self) {
         self.finish_loads();
-        let down = &self.down;
+        let unreachable = &self.unreachable;
         let assignment = &mut self.assignment;
-        assignment.releasing.retain(|host, _| down.contains(host));
+        assignment
+            .releasing
+            .retain(|host, _| unreachable.contains(host));
         assignment
             .groups
             .retain(|_, group| group.phase != GroupPhase::Retiring);
--- a/shalehinge/tests/shares.rs
+++ b/shalehinge/tests/shares.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn domains_too_small_for_each_model_hold_different_ones() {
+fn domains_too_small_for_every_model_hold_different_ones() {
     let profiles = profiles(&[("large", 8), ("small", 4)]);
     let shares = fleet_shares(&profiles, &domains(&[&[10][..]; 5]), 0.0);
     assert_eq!(
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_domain_that_holds_each_model_keeps_its_own_counts() {
+fn a_domain_that_holds_every_model_keeps_its_own_counts() {
     let profiles = profiles(&[("large", 16), ("small", 8)]);
     let shares = fleet_shares(&profiles, &domains(&[&[37; 5], &[37; 5], &[21]]), 0.0);
     let count = |domain: &str, model: &str| {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_large_replica_that_fits_one_domain_alone_goes_there() {
+fn a_large_replica_goes_to_the_only_domain_that_fits_it() {
     let profiles = profiles(&[("large", 16), ("small", 8)]);
     let shares = fleet_shares(&profiles, &domains(&[&[10], &[21], &[15]]), 0.0);
     assert_eq!(domains_with(&shares, "large"), ["d1"]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_model_no_domain_has_room_for_is_named() {
+fn a_model_that_fits_no_domain_is_reported() {
     let profiles = profiles(&[("large", 8), ("small", 4)]);
     let shares = fleet_shares(&profiles, &domains(&[&[7][..]; 3]), 0.0);
     assert_eq!(
@@ -97,53 +97,59 @@
 }
 
 #[test]
-fn hosts_that_come_elsewhere_move_no_replica_that_serves() {
+fn hosts_added_to_other_domains_move_no_serving_replica() {
     let profiles = profiles(&[("large", 8), ("small", 4)]);
-    let mut fleet = domains(&[&[10][..]; 5]);
+    let mut domain_hosts = domains(&[&[10][..]; 5]);
     for domain in ["d3", "d4"] {
-        let hosts = fleet.get_mut(&FailureDomain::new(domain)).expect("known");
+        let hosts = domain_hosts
+            .get_mut(&FailureDomain::new(domain))
+            .expect("known");
         hosts.existing.insert(ModelName::new("large"), 1);
     }
     for other in ["d0", "d1"] {
-        let hosts = fleet.get_mut(&FailureDomain::new(other)).expect("known");
+        let hosts = domain_hosts
+            .get_mut(&FailureDomain::new(other))
+            .expect("known");
         hosts.fabric_sizes = vec![11];
     }
-    let shares = fleet_shares(&profiles, &fleet, 0.0);
+    let shares = fleet_shares(&profiles, &domain_hosts, 0.0);
     assert_eq!(domains_with(&shares, "large"), ["d3", "d4"]);
 }
 
 #[test]
-fn what_stands_is_given_up_only_for_a_model_that_nobody_serves() {
+fn existing_replicas_are_given_up_only_for_an_unserved_model() {
     let profiles = profiles(&[("large", 8), ("small", 4)]);
-    let mut fleet = domains(&[&[10], &[10], &[10]]);
-    for hosts in fleet.values_mut() {
+    let mut domain_hosts = domains(&[&[10], &[10], &[10]]);
+    for hosts in domain_hosts.values_mut() {
         hosts.existing.insert(ModelName::new("small"), 2);
     }
-    let shares = fleet_shares(&profiles, &fleet, 0.0);
+    let shares = fleet_shares(&profiles, &domain_hosts, 0.0);
     assert_eq!(
         (replicas(&shares, "large"), replicas(&shares, "small")),
         (1, 4)
     );
-    let hosts = fleet.get_mut(&FailureDomain::new("d1")).expect("known");
+    let hosts = domain_hosts
+        .get_mut(&FailureDomain::new("d1"))
+        .expect("known");
     hosts.existing = BTreeMap::from([(ModelName::new("large"), 1)]);
-    let shares = fleet_shares(&profiles, &fleet, 0.0);
+    let shares = fleet_shares(&profiles, &domain_hosts, 0.0);
     assert_eq!(domains_with(&shares, "large"), ["d1"]);
 }
 
 #[test]
-fn others_make_up_for_a_domain_that_is_gone() {
+fn other_domains_compensate_for_a_lost_domain() {
     let profiles = profiles(&[("large", 8), ("small", 4)]);
-    let mut fleet = domains(&[&[10][..]; 5]);
-    let before = domains_with(&fleet_shares(&profiles, &fleet, 0.0), "large");
-    fleet.remove(&FailureDomain::new(&before[0]));
-    let after = fleet_shares(&profiles, &fleet, 0.0);
+    let mut domain_hosts = domains(&[&[10][..]; 5]);
+    let before = domains_with(&fleet_shares(&profiles, &domain_hosts, 0.0), "large");
+    domain_hosts.remove(&FailureDomain::new(&before[0]));
+    let after = fleet_shares(&profiles, &domain_hosts, 0.0);
     assert_eq!(replicas(&after, "large"), 2);
 }
 
 /// Property test: every failure domain can hold a replica of each model, and there are at least
 /// as many failure domains as models, so every model must get a replica.
 #[test]
-fn no_model_is_left_out_where_domains_can_hold_it() {
+fn every_model_gets_a_replica_where_domains_can_hold_it() {
     const RUNS: u64 = 2_000;
     for seed in 0..RUNS {
         let mut rng = StdRng::seed_from_u64(seed);
