--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -285,14 +285,14 @@
     ),
     "trials-of-a-model-wait": (
         CORE + "controller/load_crashes.rs",
-        "let wait = wait_after(record.crashes);",
-        "let wait = wait_after(record.crashes.min(1));",
-        "crashing_models", "ever_more_rarely",
+        "let wait = backoff_after(record.crashes);",
+        "let wait = backoff_after(record.crashes.min(1));",
+        "crashing_models", "increasing_waits",
     ),
     "one-engine-tries-a-model": (
         CORE + "controller/load_crashes.rs",
-        "trying != host && now",
-        "trying != host && false && now",
+        "attempting != host && now",
+        "attempting != host && false && now",
         "crashing_models", "costs_one_engine",
     ),
     "a-load-that-succeeds-ends-it": (
@@ -309,9 +309,9 @@
     ),
     "a-list-newer-than-what-is-foreign": (
         CORE + "controller/mod.rs",
-        "            if !self.knows_what_stands() {\n                return (None, log);\n            }\n",
+        "            if !self.shows_running_groups() {\n                return (None, log);\n            }\n",
         "",
-        "adoption", "orders_nothing",
+        "adoption", "sends_no_orders",
     ),
     "a-foreign-lease-waits-a-term": (
         CORE + "lease.rs",
@@ -360,19 +360,19 @@
         CORE + "controller/ordered.rs",
         "} else if status.group.is_some() || has_restarted {",
         "} else if status.group.is_some() {",
-        "ordered", "its_own_answer",
+        "ordered", "by_its_answer",
     ),
     "silence-only-while-others-answer": (
         CORE + "controller/ordered.rs",
-        "if !self.own_reach.trusts_silence(asked_at) {",
-        "if false && !self.own_reach.trusts_silence(asked_at) {",
-        "ordered", "a_holder_that",
+        "if !self.own_connectivity.trusts_silence(asked_at) {",
+        "if false && !self.own_connectivity.trusts_silence(asked_at) {",
+        "ordered", "a_holder_with",
     ),
     "most-must-answer": (
-        CORE + "controller/own_reach.rs",
-        "self.answered * 4 >= self.asked * 3",
+        CORE + "controller/own_connectivity.rs",
+        "self.answered * 4 >= self.probed * 3",
         "self.answered > 0",
-        "ordered", "few_hosts_answer",
+        "ordered", "few_answers",
     ),
     "near-peers-first": (
         CORE + "object_fetch.rs",
@@ -474,13 +474,13 @@
     ),
     "models-over-the-fleet": (
         CORE + "placement/fleet_shares.rs",
-        "let is_narrow = counts.values().any(|count| *count == 0);",
-        "let is_narrow = false;",
+        "let is_undersized = counts.values().any(|count| *count == 0);",
+        "let is_undersized = false;",
         "shares", "hold_different_ones",
     ),
     "silent-member-is-no-surplus": (
         CORE + "placement/planner.rs",
-        "current.filter(|n| self.is_answering(n)).collect()",
+        "current.filter(|n| self.is_reachable(n)).collect()",
         "current.collect()",
         "placement", "no_surplus_while_another",
     ),
@@ -625,7 +625,7 @@
     ),
     "silent-head": (
         CORE + "controller/departures.rs",
-        "self.has_left(head, number) || stands_long", "{ let _ = stands_long; true }",
+        "self.has_left(rank_zero, number) || has_stalled", "{ let _ = has_stalled; true }",
         "ordered", "silent_rank_zero",
     ),
     "list-age": (
@@ -650,7 +650,7 @@
     ),
     "unanswered-order": (
         CORE + "controller/mod.rs",
-        "self.doubt(now, host);", "self.on_no_status(now, asked_at, host);",
+        "self.schedule_probe(now, host);", "self.on_no_status(now, asked_at, host);",
         "ordered", "ends_no_group",
     ),
     "lost-told": (
@@ -672,7 +672,7 @@
         CORE + "controller/ordered.rs",
         "let is_finished = group.phase == GroupPhase::Retiring && self.has_left(rank_zero, number);",
         "let is_finished = false;",
-        "ordered", "gone_keeps",
+        "ordered", "does_not_block_a_retiring",
     ),
     "held-by-free": (
         CORE + "controller/mod.rs",
@@ -683,11 +683,11 @@
         CORE + "controller/reachability.rs",
         "let Some(since) = self.silent_since() else {",
         "let Some(since) = None::<Timestamp> else {",
-        "ordered", "fell_silent",
+        "ordered", "became_silent",
     ),
     "lapsed-entries": (
         CORE + "controller/ordered.rs",
-        " && !self.list_outage.may_return()", "",
+        " && !self.list_outage.entries_may_reappear()", "",
         "ordered", "just_after_an_outage",
     ),
     "timely-first": (
@@ -704,12 +704,12 @@
     "two-looks": (
         CORE + "controller/ordered.rs",
         "let is_second = asked_at > since;", "let is_second = true;",
-        "ordered", "one_look",
+        "ordered", "one_unanswered_probe",
     ),
     "paused-looks": (
         CORE + "controller/ordered.rs",
         "if now.since(asked_at) >= self.settings.loss_confirm * 2 {", "if false {",
-        "ordered", "stood_still",
+        "ordered", "was_paused",
     ),
     "load-rate": (
         CORE + "controller/load_budget.rs", "if self.tokens < 1.0 {", "if false {",
--- a/shalehinge/src/core/controller/ordered_plan.rs
+++ b/shalehinge/src/core/controller/ordered_plan.rs
@@ -1,5 +1,5 @@
-//! What a holder wants next where engines join by order and replicas follow from the models'
-//! parts of the work.
+//! Computes the next assignment where engines join by order and replica counts follow from the
+//! models' work shares.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,72 +14,73 @@
 use crate::core::placement::{PlacementContext, next_steps};
 use crate::core::types::{GroupNumber, HostId, ModelVersion, Timestamp};
 
-/// Replicas by model that stand and neither retire nor are lost.
-fn standing_replicas(
+/// Number of replicas by model that are neither retiring nor lost.
+fn existing_replicas(
     value: &Assignment,
     lost: &BTreeMap<GroupNumber, Option<HostId>>,
 ) -> ReplicaCounts {
-    let standing = value.groups.iter().filter(|(number, group)| {
+    let existing = value.groups.iter().filter(|(number, group)| {
         group.phase != GroupPhase::Retiring && !lost.contains_key(number)
     });
-    count_models(standing.map(|(_, group)| &group.model))
+    count_models(existing.map(|(_, group)| &group.model))
 }
 
 impl Controller {
-    /// The next value where engines join by order and replicas follow from shares.
-    pub(super) fn next_ordered(
+    /// Updates `value` to the next assignment.
+    pub(super) fn plan_ordered(
         &mut self,
         now: Timestamp,
         value: &mut Assignment,
         state: &FleetState,
         log: &mut Vec<String>,
     ) {
-        self.take_departures(now, value);
+        self.free_departed_hosts(now, value);
         self.departed.retain(|host| value.is_in_use(host));
-        self.drop_retired(value, log);
+        self.remove_retired(value, log);
         self.promote_open(value, log);
-        self.note_listed_losses(now, value);
+        self.mark_listed_losses(now, value);
         let lost = self.lost_groups(value);
-        let mut avoided = self.out_of_reach(now, value);
-        let standing = standing_replicas(value, &lost);
+        let mut avoided = self.unusable_hosts(now, value);
+        let existing = existing_replicas(value, &lost);
         let input = PlanInput {
             domain: &self.domain,
-            standing: &standing,
+            existing: &existing,
             spare_share: self.settings.spare_share,
             unreachable: &avoided,
-            entries_may_return: self.list_outage.may_return(),
+            entries_may_reappear: self.list_outage.entries_may_reappear(),
         };
         log.extend(self.plans.refresh(state, input, &mut value.wanted));
         avoided.extend(self.shown_in_a_group(value).into_keys());
         let held = self.listed_weights();
-        // Survivors of a lost group are free in a moment, and soonest ready again.
+        // Survivors of a lost group are released soon, and are the fastest to be ready again.
         let awaits_survivors = self.awaits_survivors(now, value, &avoided);
         let max_forming = if awaits_survivors {
             0
         } else {
             self.settings.max_forming
         };
-        // Groups whose weights lie ready come first, whatever model lacks most.
+        // Form groups whose hosts already hold the weights first, regardless of which model has
+        // the largest shortage.
         let may_load = !self.has_new_hosts(now);
         let passes = [Some(0), may_load.then_some(usize::MAX)];
         for max_loads in passes.into_iter().flatten() {
             for (index, plan) in self.plans.iter().enumerate() {
-                let part = self.plans.part_of(index, value);
+                let service_assignment = self.plans.part_for(index, value);
                 let mut fleet = plan.fleet.clone();
                 fleet.draining.extend(self.departed.iter().cloned());
                 let context = PlacementContext {
                     domain: &self.domain,
                     fleet: &fleet,
                     hosts: &plan.hosts,
-                    assignment: &part,
+                    assignment: &service_assignment,
                     unreachable: &avoided,
                     lost: &lost,
                     held: &held,
                     choice: self.settings.choice,
                     max_forming,
                     max_loads,
-                    keeps_surplus: true,
-                    needs: &self.needs,
+                    keep_surplus: true,
+                    replica_demand: &self.replica_demand,
                 };
                 for step in next_steps(&context) {
                     log.push(step.to_string());
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Weights that lie on the hosts, by the list, and those of their last groups.
+    /// Weights that each host holds: those staged according to the list, and those of its last
+    /// group.
     fn listed_weights(&self) -> HeldWeights {
         let version = ModelVersion::new(ONLY_VERSION);
         self.listed
@@ -102,13 +104,13 @@
             .collect()
     }
 
-    /// This failure domain's part of what the weight store can do.
-    pub(super) fn note_load_rate(&mut self, state: &FleetState, domains: usize) {
+    /// Updates the load budget: this failure domain's part of the weight store's capacity.
+    pub(super) fn update_load_rate(&mut self, state: &FleetState, domains: usize) {
         let fleet = state.fleet().map(|fleet| &fleet.value);
         let rate = fleet.and_then(|fleet| fleet.load_rate);
-        let part = 1.0 / domains.max(1) as f64;
-        let usable = self.settings.load_share * part;
-        self.loads
+        let fraction = 1.0 / domains.max(1) as f64;
+        let usable = self.settings.load_share * fraction;
+        self.load_budget
             .set_rate(rate.map(|rate| rate.per_second * usable));
         let at_once = rate.and_then(|rate| rate.at_once);
         let profiles = fleet.into_iter().flat_map(|fleet| fleet.profiles.values());
@@ -116,7 +118,7 @@
             .filter_map(|profile| profile.load_seconds)
             .max_by(f64::total_cmp);
         let load_time = longest.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-        self.loads
-            .set_at_once(at_once.map(|at_once| at_once * part), load_time);
+        self.load_budget
+            .set_concurrency(at_once.map(|at_once| at_once * fraction), load_time);
     }
 }
--- a/shalehinge/src/core/controller/reported.rs
+++ b/shalehinge/src/core/controller/reported.rs
@@ -1,4 +1,4 @@
-//! Engines that report how far they are: rank 0 tells that its group is complete.
+//! Engines that report their progress: rank 0 reports when its group is complete.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,15 @@
 use crate::core::engine::EngineStatus;
 use crate::core::fleet_state::FleetState;
 use crate::core::objects::{Assignment, GroupPhase};
-use crate::core::placement::need::NO_NEEDS;
 use crate::core::placement::planner::HeldWeights;
 use crate::core::placement::preview::apply_step;
+use crate::core::placement::replica_demand::UNKNOWN_DEMAND;
 use crate::core::placement::{PlacementContext, next_steps};
 use crate::core::types::{GroupNumber, HostId, Timestamp};
 
 impl Controller {
-    /// The next value where engines report and replicas follow from intents.
-    pub(super) fn next_reported(
+    /// Updates `value` to the next assignment, where replica counts follow from the intents.
+    pub(super) fn plan_reported(
         &mut self,
         now: Timestamp,
         value: &mut Assignment,
@@ -24,9 +24,9 @@
         let (Some(fleet), Some(hosts)) = (state.fleet(), state.full_hosts()) else {
             return;
         };
-        self.take_acknowledgements(value, state, log);
+        self.apply_acknowledgements(value, state, log);
         self.promote_ready(value, log);
-        self.note_losses(now, value, state);
+        self.mark_losses(now, value, state);
         let lost = self.lost_groups(value);
         let unreachable = self.recently_unreachable(now);
         let held = self.held_weights();
@@ -41,8 +41,8 @@
             choice: self.settings.choice,
             max_forming: self.settings.max_forming,
             max_loads: usize::MAX,
-            keeps_surplus: false,
-            needs: &NO_NEEDS,
+            keep_surplus: false,
+            replica_demand: &UNKNOWN_DEMAND,
         };
         let steps = next_steps(&context);
         for step in &steps {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// What a report of rank 0 says of its group.
-    pub(super) fn judge_rank_zero(
+    /// Updates the health of a group from the status of its rank 0.
+    pub(super) fn update_group_health(
         &mut self,
         now: Timestamp,
         asked_at: Timestamp,
@@ -75,7 +75,7 @@
             return;
         }
         if status.shows_released(*number) {
-            // Its engine started anew: what it held is gone.
+            // The engine restarted, so its weights and requests are gone.
             health.is_lost = true;
             health.lost_member = Some(status.host.clone());
             return;
@@ -84,7 +84,7 @@
         health.is_lost |= now.since(since) >= self.settings.loss_confirm;
     }
 
-    /// An engine that reports did not answer.
+    /// Handles a probe, sent at `asked_at`, that was not answered.
     pub(super) fn on_no_report(&mut self, now: Timestamp, asked_at: Timestamp, host: &HostId) {
         self.unreachable.insert(host.clone(), now);
         let Some(stored) = &self.stored else {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Hosts whose engines show that they left are free again.
-    fn take_acknowledgements(
+    /// Frees hosts whose engines confirm that they left their group.
+    fn apply_acknowledgements(
         &self,
         value: &mut Assignment,
         state: &FleetState,
@@ -121,10 +121,10 @@
         value
             .releasing
             .retain(|host, number| is_listed(host) && !has_left(host, number));
-        self.drop_retired(value, log);
+        self.remove_retired(value, log);
     }
 
-    /// A forming group serves once rank 0 sees all members.
+    /// Promotes forming groups whose rank 0 reports all members present to serving.
     fn promote_ready(&self, value: &mut Assignment, log: &mut Vec<String>) {
         for (number, group) in &mut value.groups {
             if group.phase != GroupPhase::Forming {
@@ -139,25 +139,26 @@
         }
     }
 
-    /// Losses that no engine reports: hosts gone from the list, forming without end.
-    fn note_losses(&mut self, now: Timestamp, value: &Assignment, state: &FleetState) {
+    /// Marks groups as lost for reasons that no engine reports: a member is no longer listed, or
+    /// the group did not form in time.
+    fn mark_losses(&mut self, now: Timestamp, value: &Assignment, state: &FleetState) {
         let Some(hosts) = state.hosts() else {
             return;
         };
         for (number, group) in &value.groups {
-            let gone = group
+            let unlisted = group
                 .members
                 .iter()
                 .map(|member| &member.host)
                 .find(|host| !hosts.value.hosts.contains_key(*host));
-            let stuck = self
+            let has_timed_out = self
                 .forming_since
                 .get(number)
                 .is_some_and(|since| now.since(*since) >= self.settings.forming_timeout);
-            if gone.is_some() || stuck {
+            if unlisted.is_some() || has_timed_out {
                 let health = self.health.entry(*number).or_default();
                 health.is_lost = true;
-                health.lost_member = health.lost_member.take().or(gone.cloned());
+                health.lost_member = health.lost_member.take().or(unlisted.cloned());
             }
         }
     }
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -1,9 +1,9 @@
-//! What one model service wants of a failure domain, as the planner reads it.
+//! Replica counts of one model service in a failure domain, as input of the planner.
 //!
-//! Models with a profile have no replicas written in the configuration; they follow
-//! from their parts of the work and from the hosts that are listed, in this failure domain
-//! and, where it is too small for each model, in the others. Each service has hosts of
-//! its own, so each is planned apart.
+//! The configuration contains no replica counts for models with a profile. The counts follow from
+//! the models' work shares and the listed hosts of this failure domain and, if it is too small
+//! for every model, of the other failure domains. Services do not share hosts, so each is planned
+//! separately.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,48 +22,48 @@
     ModelVersion, ServiceName, Version,
 };
 
-/// The version of models whose configuration names none.
+/// Version of models for which the configuration specifies none.
 pub(super) const ONLY_VERSION: &str = "current";
 
-/// One service with its models and hosts.
+/// A service with its models and hosts.
 #[derive(Clone, Debug)]
 pub(super) struct ServicePlan {
     service: ServiceName,
-    /// Models of the service, with replicas for this failure domain.
+    /// Models of the service, with replica counts for this failure domain.
     pub(super) fleet: FleetConfig,
-    /// Hosts of the service.
+    /// Hosts of the service in this failure domain.
     pub(super) hosts: HostList,
 }
 
-/// What the plans of a failure domain are made from.
+/// Inputs of the plans of a failure domain.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlanInput<'a> {
-    /// The failure domain.
+    /// Failure domain that is planned.
     pub(super) domain: &'a FailureDomain,
-    /// Part of the hosts that stays free once each model has its part.
+    /// Fraction of the hosts, 0 to 1, that stays free once each model has its share.
     pub(super) spare_share: f64,
-    /// Hosts of this failure domain that can't be used, though listed.
+    /// Hosts of this failure domain that are listed but cannot be used.
     pub(super) unreachable: &'a BTreeSet<HostId>,
-    /// Replicas of this failure domain that stand and don't retire.
-    pub(super) standing: &'a ReplicaCounts,
-    /// Whether entries that the list lost may come back: what the list shows of other
-    /// failure domains is then no reason to change what this one serves.
-    pub(super) entries_may_return: bool,
+    /// Replicas of this failure domain that are neither retiring nor lost, by model.
+    pub(super) existing: &'a ReplicaCounts,
+    /// Whether expired entries may reappear in the list. In that case the listed state of other
+    /// failure domains is no reason to change the replicas of this one.
+    pub(super) entries_may_reappear: bool,
 }
 
-/// The plans of all services, made anew when what they follow from changes.
+/// Plans of all services, recomputed when their inputs change.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePlans {
-    made_from: (FleetVersion, Version),
-    made_without: BTreeSet<HostId>,
-    made_beside: ReplicaCounts,
+    planned_versions: (FleetVersion, Version),
+    planned_unreachable: BTreeSet<HostId>,
+    planned_existing: ReplicaCounts,
     shares: BTreeMap<ServiceName, DomainShare>,
     without_room: Vec<ModelName>,
     plans: Vec<ServicePlan>,
 }
 
 impl ServicePlans {
-    /// Brings the plans up to date; returns lines for the log where they changed.
+    /// Updates the plans. Returns log lines if they changed.
     pub(super) fn refresh(
         &mut self,
         state: &FleetState,
@@ -74,16 +74,16 @@
         let (Some(fleet), Some(hosts)) = (state.fleet(), state.full_hosts()) else {
             return Vec::new();
         };
-        let is_known = versions == self.made_from
-            && *input.unreachable == self.made_without
-            && *input.standing == self.made_beside;
-        if is_known {
+        let is_unchanged = versions == self.planned_versions
+            && *input.unreachable == self.planned_unreachable
+            && *input.existing == self.planned_existing;
+        if is_unchanged {
             return Vec::new();
         }
-        self.made_from = versions;
-        self.made_without.clone_from(input.unreachable);
-        self.made_beside.clone_from(input.standing);
-        let mut lines = self.divide(&fleet.value, &hosts.value, input);
+        self.planned_versions = versions;
+        self.planned_unreachable.clone_from(input.unreachable);
+        self.planned_existing.clone_from(input.existing);
+        let mut lines = self.distribute(&fleet.value, &hosts.value, input);
         wanted.retain(|model, _| fleet.value.profiles.contains_key(model));
         let services = services_of(&fleet.value);
         let plans: Vec<ServicePlan> = services
@@ -93,19 +93,20 @@
                 plan_of(&fleet.value, &hosts.value, service, &share, input, wanted)
             })
             .collect();
-        lines.extend(changes(&self.plans, &plans, input.domain));
+        lines.extend(changed_counts(&self.plans, &plans, input.domain));
         self.plans = plans;
         lines
     }
 
-    /// Divides the models of each service over the failure domains.
-    fn divide(
+    /// Distributes the models of each service over the failure domains. Returns log lines if the
+    /// set of models without room changed.
+    fn distribute(
         &mut self,
         fleet: &FleetConfig,
         hosts: &HostList,
         input: PlanInput<'_>,
     ) -> Vec<String> {
-        if input.entries_may_return && !self.shares.is_empty() {
+        if input.entries_may_reappear && !self.shares.is_empty() {
             return Vec::new();
         }
         let mut shares = BTreeMap::new();
@@ -113,12 +114,12 @@
         for service in services_of(fleet) {
             let profiles = profiles_of(fleet, service);
             let mut by_domain = hosts_by_domain(hosts, service);
-            if let Some(own) = by_domain.get_mut(input.domain) {
-                own.standing.clone_from(input.standing);
+            if let Some(own_hosts) = by_domain.get_mut(input.domain) {
+                own_hosts.existing.clone_from(input.existing);
             }
-            let of_fleet: FleetShares = fleet_shares(&profiles, &by_domain, input.spare_share);
-            without_room.extend(models_without_room(&profiles, &of_fleet));
-            if let Some(share) = of_fleet.get(input.domain) {
+            let distribution: FleetShares = fleet_shares(&profiles, &by_domain, input.spare_share);
+            without_room.extend(models_without_room(&profiles, &distribution));
+            if let Some(share) = distribution.get(input.domain) {
                 shares.insert(service.clone(), share.clone());
             }
         }
@@ -129,7 +130,7 @@
         self.without_room = without_room;
         let lacking = self.without_room.iter();
         lacking
-            .map(|model| format!("no failure domain has the hosts for a replica of {model}"))
+            .map(|model| format!("no failure domain has enough hosts for a replica of {model}"))
             .collect()
     }
 
@@ -137,7 +138,7 @@
         self.plans.iter()
     }
 
-    /// Models with their service and the hosts of one replica.
+    /// Models with their service and the number of hosts per replica.
     pub(super) fn model_sizes(&self) -> Vec<(ModelName, ServiceName, u32)> {
         let models = self.plans.iter().flat_map(|plan| {
             let service = &plan.service;
@@ -148,13 +149,17 @@
         models.collect()
     }
 
-    /// The assignment as one plan sees it. Groups of models that no plan knows fall to
-    /// the first, which retires them.
-    pub(super) fn part_of(&self, index: usize, whole: &Assignment) -> Assignment {
-        let knows = |plan: &ServicePlan, model: &ModelName| plan.fleet.models.contains_key(model);
+    /// The part of the assignment that belongs to one plan. Groups of models without a plan
+    /// belong to the first plan, which retires them.
+    pub(super) fn part_for(&self, index: usize, whole: &Assignment) -> Assignment {
+        let contains_model =
+            |plan: &ServicePlan, model: &ModelName| plan.fleet.models.contains_key(model);
         let mut part = whole.clone();
         part.groups.retain(|_, group| {
-            let owner = self.plans.iter().position(|plan| knows(plan, &group.model));
+            let owner = self
+                .plans
+                .iter()
+                .position(|plan| contains_model(plan, &group.model));
             owner.unwrap_or(0) == index
         });
         part
@@ -173,8 +178,7 @@
         .collect()
 }
 
-/// The live hosts of a service in each failure domain, and the replicas that the list
-/// shows there.
+/// Live hosts of a service in each failure domain, and the replicas that the list shows there.
 fn hosts_by_domain(
     hosts: &HostList,
     service: &ServiceName,
@@ -197,19 +201,20 @@
     fabrics
         .into_iter()
         .map(|(domain, sizes)| {
-            let standing = groups.remove(domain).unwrap_or_default();
+            let existing = groups.remove(domain).unwrap_or_default();
             let hosts = DomainHosts {
                 fabric_sizes: sizes.into_values().collect(),
-                standing: count_models(standing.values()),
+                existing: count_models(existing.values()),
             };
             (domain.clone(), hosts)
         })
         .collect()
 }
 
-/// What the failure domain should have of each model, as far as its usable hosts allow. A
-/// count once wanted stays wanted, so that a lost host does not lower it for good; only
-/// where the domain can't hold each model, the fleet's division decides anew each time.
+/// Wanted replicas of each model in the failure domain, as far as its usable hosts allow. A count
+/// that was wanted once stays wanted, so that a lost host does not lower it permanently. Only if
+/// the failure domain cannot hold every model is the count taken from the distribution over the
+/// fleet each time.
 fn counts_of(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     share: &DomainShare,
@@ -217,17 +222,17 @@
     spare_share: f64,
     wanted: &mut ReplicaCounts,
 ) -> ReplicaCounts {
-    if share.is_narrow {
+    if share.is_undersized {
         wanted.extend(share.counts.clone());
         let counts = replicas_that_fit(profiles, sizes, share.counts.clone());
-        // Hosts of a replica that finds no room here after all serve what they can.
+        // Hosts of a replica that does not fit here after all are used for other models.
         return fill(profiles, sizes, usable_hosts(sizes, spare_share), counts);
     }
     let mut counts = replicas_by_share(profiles, sizes, spare_share);
     for (model, count) in &mut counts {
-        let most = wanted.entry(model.clone()).or_default();
-        *most = (*most).max(*count);
-        *count = *most;
+        let wanted_count = wanted.entry(model.clone()).or_default();
+        *wanted_count = (*wanted_count).max(*count);
+        *count = *wanted_count;
     }
     replicas_that_fit(profiles, sizes, counts)
 }
@@ -241,11 +246,11 @@
     wanted: &mut ReplicaCounts,
 ) -> ServicePlan {
     let PlanInput { domain, .. } = input;
-    let own = hosts.hosts.iter().filter(|(_, record)| {
+    let own_hosts = hosts.hosts.iter().filter(|(_, record)| {
         record.service.as_ref() == Some(service) && record.failure_domain == *domain
     });
     let hosts = HostList {
-        hosts: own
+        hosts: own_hosts
             .map(|(host, record)| (host.clone(), record.clone()))
             .collect(),
     };
@@ -283,7 +288,7 @@
     sizes.into_values().collect()
 }
 
-fn changes(old: &[ServicePlan], new: &[ServicePlan], domain: &FailureDomain) -> Vec<String> {
+fn changed_counts(old: &[ServicePlan], new: &[ServicePlan], domain: &FailureDomain) -> Vec<String> {
     let wanted = |plans: &[ServicePlan]| -> BTreeMap<ModelName, u32> {
         let models = plans.iter().flat_map(|plan| &plan.fleet.models);
         models
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{CallPurpose, DEMAND_INTERVAL, Daemon, LEASE_CANDIDATES, log};
-use crate::core::controller::{ControllerAction, Listing, Origin};
+use crate::core::controller::{ControllerAction, HostListState, Origin};
 use crate::core::event::{Action, Component, StatusPurpose};
 use crate::core::fleet_state::ObjectUpdate;
 use crate::core::lease::LeaseStep;
@@ -103,12 +103,12 @@
         self.next_demand_update_at = now + DEMAND_INTERVAL;
         let daemons = self.membership.fleet_size(now);
         let work = self.demand.fleet_work(now, daemons);
-        for text in self.controller.note_work(&self.state, &work) {
+        for text in self.controller.record_work(&self.state, &work) {
             log(out, Component::Place, text);
         }
     }
 
-    fn controller_listing(&self, now: Timestamp) -> Listing {
+    fn controller_listing(&self, now: Timestamp) -> HostListState {
         // Only the lease holder needs the number of failure domains.
         let hosts = self.state.full_hosts().filter(|_| self.is_lease_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
@@ -117,9 +117,9 @@
             .map(|record| &record.failure_domain)
             .collect();
         let is_early = now.as_duration() < self.settings.control.free_loads_within;
-        Listing {
+        HostListState {
             as_of: self.hosts_as_of(),
-            loads_are_free: self.identity.is_first_start && is_early && !self.has_received_request,
+            loads_are_unlimited: self.identity.is_first_start && is_early && !self.has_received_request,
             domains: domains.len(),
         }
     }
@@ -163,13 +163,13 @@
                     valid_until: self.lease.valid_until(),
                 });
             }
-            ControllerAction::Probe { group, rank_zero } => out.push(Action::RequestStatus {
+            ControllerAction::Probe { group, member } => out.push(Action::RequestStatus {
                 purpose: StatusPurpose::Probe(group),
-                host: Some(rank_zero.host),
-                address: rank_zero.address,
+                host: Some(member.host),
+                address: member.address,
             }),
-            ControllerAction::AskMoving => self.pull_last_outputs(now, out),
-            ControllerAction::TellLost(number) => {
+            ControllerAction::AskRecentOutput => self.pull_last_outputs(now, out),
+            ControllerAction::NotifyLost(number) => {
                 let failure_domain = self.identity.failure_domain.clone();
                 let replica = ReplicaId {
                     failure_domain,
@@ -190,7 +190,7 @@
         match result {
             Ok(PlatformReply::Object(object)) => match (*object).into_assignment() {
                 Some(stored) => self.on_assignment_read(now, stored, out),
-                None => self.controller.on_unclear(),
+                None => self.controller.on_call_failed(),
             },
             Ok(PlatformReply::Missing(era)) => {
                 let absent = Versioned {
@@ -210,7 +210,7 @@
                 | PlatformReply::HistoryGone(_),
             )
             | Err(NoAnswer) => {
-                self.controller.on_unclear();
+                self.controller.on_call_failed();
             }
         }
     }
@@ -237,7 +237,7 @@
             value,
         };
         let origin = if is_copied {
-            Origin::Copy
+            Origin::Restored
         } else {
             Origin::Current
         };
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -208,7 +208,7 @@
     fn record_last_outputs(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
         for LastOutput { replica, ms_ago } in moving {
             if let Some(at) = time_before(asked_at, ms_ago) {
-                self.controller.note_moving(at, replica.number);
+                self.controller.record_output(at, replica.number);
             }
         }
     }
--- a/shalehinge/src/core/placement/shares.rs
+++ b/shalehinge/src/core/placement/shares.rs
@@ -1,19 +1,19 @@
-//! How many replicas of each model a failure domain should have, from the models'
-//! parts of the work.
+//! Number of replicas of each model in a failure domain, derived from the models' shares of the
+//! work.
 //!
-//! A model's part of the work is its part of the hosts. What is left once each model
-//! has its part goes to the models with the smallest replicas: their hosts are the
-//! first to be preempted when a larger replica loses a member.
+//! A model receives the same share of the hosts as it has of the work. Hosts that remain
+//! afterwards go to the models with the smallest replicas, because these are preempted first when
+//! a larger replica loses a member.
 
 use std::collections::BTreeMap;
 
 use crate::core::objects::ModelProfile;
 use crate::core::types::ModelName;
 
-/// Replicas by model.
+/// Number of replicas by model.
 pub type ReplicaCounts = BTreeMap<ModelName, u32>;
 
-/// How many replicas of each model these are.
+/// Counts the replicas of each model; `models` yields the model of each replica.
 pub fn count_models<'a>(models: impl Iterator<Item = &'a ModelName>) -> ReplicaCounts {
     let mut counts = ReplicaCounts::new();
     for model in models {
@@ -22,8 +22,8 @@
     counts
 }
 
-/// Divides the hosts of fabric domains of these sizes among the models; `spare_share`
-/// is the part of the hosts that stays free once each model has its part.
+/// Divides the hosts of fabric domains with these sizes among the models. `spare_share` is the
+/// fraction of the hosts, 0 to 1, that stays free once each model has its share.
 pub fn replicas_by_share(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -35,8 +35,8 @@
     let mut counts: ReplicaCounts = profiles
         .iter()
         .map(|(model, profile)| {
-            let due = hosts as f64 * profile.work_share / total.max(f64::EPSILON);
-            let replicas = (due / f64::from(profile.hosts_per_replica.max(1))).floor();
+            let host_share = hosts as f64 * profile.work_share / total.max(f64::EPSILON);
+            let replicas = (host_share / f64::from(profile.hosts_per_replica.max(1))).floor();
             (model.clone(), (replicas as u32).max(1))
         })
         .collect();
@@ -44,14 +44,14 @@
     fill(profiles, fabric_sizes, usable, counts)
 }
 
-/// Hosts that need not stay free once each model has its part.
+/// Number of hosts that may be used once each model has its share.
 pub fn usable_hosts(fabric_sizes: &[usize], spare_share: f64) -> usize {
     let hosts: usize = fabric_sizes.iter().sum();
     (hosts as f64 * (1.0 - spare_share)).floor() as usize
 }
 
-/// Adds replicas, the smallest first, as long as they find room and leave all but
-/// `usable` hosts free.
+/// Adds replicas, smallest first, as long as they fit and the replicas use at most `usable` hosts
+/// in total.
 pub fn fill(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -62,20 +62,21 @@
     by_size.sort_by_key(|(_, profile)| profile.hosts_per_replica);
     for (model, _) in by_size {
         loop {
-            let mut more = counts.clone();
-            *more.entry(model.clone()).or_default() += 1;
-            let has_spares = hosts_of(profiles, &more) <= usable;
-            if !has_spares || !fit(profiles, &more, fabric_sizes) {
+            let mut increased = counts.clone();
+            *increased.entry(model.clone()).or_default() += 1;
+            let has_spares = total_hosts(profiles, &increased) <= usable;
+            if !has_spares || !fit(profiles, &increased, fabric_sizes) {
                 break;
             }
-            counts = more;
+            counts = increased;
         }
     }
     counts
 }
 
-/// As many of these replicas as find room. The richest model gives up first, its last
-/// replica only when no model has more than one; what room is left then is used.
+/// Reduces `wanted` to replicas that fit. The model with the highest supply is reduced first, but
+/// loses its last replica only when no model has more than one. Space that remains is then filled
+/// up to the wanted counts.
 pub fn replicas_that_fit(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     fabric_sizes: &[usize],
@@ -83,38 +84,40 @@
 ) -> ReplicaCounts {
     let mut counts = wanted.clone();
     while !fit(profiles, &counts, fabric_sizes) {
-        let giver = richest(profiles, &counts, 1).or_else(|| richest(profiles, &counts, 0));
-        let Some(model) = giver else {
+        let donor = best_supplied_above(profiles, &counts, 1)
+            .or_else(|| best_supplied_above(profiles, &counts, 0));
+        let Some(model) = donor else {
             break;
         };
         *counts.entry(model).or_default() -= 1;
     }
-    for (model, most) in &wanted {
-        while counts[model] < *most {
-            let mut more = counts.clone();
-            *more.entry(model.clone()).or_default() += 1;
-            if !fit(profiles, &more, fabric_sizes) {
+    for (model, wanted_count) in &wanted {
+        while counts[model] < *wanted_count {
+            let mut increased = counts.clone();
+            *increased.entry(model.clone()).or_default() += 1;
+            if !fit(profiles, &increased, fabric_sizes) {
                 break;
             }
-            counts = more;
+            counts = increased;
         }
     }
     counts
 }
 
-/// The model with the most hosts against its part, of those with more than `least`
-/// replicas.
-fn richest(
+/// The model with the highest supply among those with more than `min_replicas` replicas.
+fn best_supplied_above(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
-    least: u32,
+    min_replicas: u32,
 ) -> Option<ModelName> {
-    let models = profiles.keys().filter(|model| counts[*model] > least);
-    most_spared(profiles, counts, models)
+    let models = profiles
+        .keys()
+        .filter(|model| counts[*model] > min_replicas);
+    best_supplied(profiles, counts, models)
 }
 
-/// Of these models the one with the most hosts against its part.
-pub(super) fn most_spared<'a>(
+/// The model with the highest supply among `models`.
+pub(super) fn best_supplied<'a>(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
     models: impl Iterator<Item = &'a ModelName>,
@@ -125,19 +128,19 @@
         .cloned()
 }
 
-/// Hosts of so many replicas of a model against its part of the work.
+/// Supply of a model: the ratio of the hosts of these replicas to the model's share of the work.
 pub(super) fn supply(replicas: u32, profile: &ModelProfile) -> f64 {
-    const LEAST_SHARE: f64 = 1e-3;
+    const MIN_WORK_SHARE: f64 = 1e-3;
     let hosts = f64::from(replicas * profile.hosts_per_replica);
-    hosts / profile.work_share.max(LEAST_SHARE)
+    hosts / profile.work_share.max(MIN_WORK_SHARE)
 }
 
-fn hosts_of(profiles: &BTreeMap<ModelName, ModelProfile>, counts: &ReplicaCounts) -> usize {
+fn total_hosts(profiles: &BTreeMap<ModelName, ModelProfile>, counts: &ReplicaCounts) -> usize {
     let hosts = |(model, count): (&ModelName, &u32)| profiles[model].hosts_per_replica * count;
     counts.iter().map(hosts).sum::<u32>() as usize
 }
 
-/// Whether so many replicas find room, the large ones placed first.
+/// Whether these replicas fit into the fabric domains, placing large ones first.
 pub(super) fn fit(
     profiles: &BTreeMap<ModelName, ModelProfile>,
     counts: &ReplicaCounts,
@@ -153,10 +156,10 @@
     for size in sizes {
         let tightest = free
             .iter_mut()
-            .filter(|left| **left >= size)
-            .min_by_key(|left| **left);
+            .filter(|available| **available >= size)
+            .min_by_key(|available| **available);
         match tightest {
-            Some(left) => *left -= size,
+            Some(available) => *available -= size,
             None => return false,
         }
     }
--- a/shalehinge/tests/demand.rs
+++ b/shalehinge/tests/demand.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use shalehinge::core::demand::{Demand, FleetWork, ModelWork, WorkReport};
 use shalehinge::core::objects::{EngineTimes, ModelProfile};
-use shalehinge::core::placement::need::needs_of;
+use shalehinge::core::placement::replica_demand::estimate_demand;
 use shalehinge::core::types::{DaemonId, ModelName, ServiceName, Timestamp};
 
 const LARGE: &str = "large";
@@ -168,7 +168,7 @@
         ]),
         sampled_requests: 1_000.0,
     };
-    let needs = needs_of(&profiles(), &work).expect("sample is large enough");
+    let needs = estimate_demand(&profiles(), &work).expect("sample is large enough");
     assert!(is_close(needs[&model(LARGE)], 1.0), "{needs:?}");
     assert!(is_close(needs[&model(SMALL)], 0.5), "{needs:?}");
 }
@@ -179,9 +179,9 @@
         per_second: BTreeMap::from([(model(SMALL), work(10.0, 7_000.0, 300.0))]),
         sampled_requests: 50.0,
     };
-    assert_eq!(needs_of(&profiles(), &seen), None);
+    assert_eq!(estimate_demand(&profiles(), &seen), None);
     seen.sampled_requests = 500.0;
-    let needs = needs_of(&profiles(), &seen).expect("sample is large enough");
+    let needs = estimate_demand(&profiles(), &seen).expect("sample is large enough");
     assert!(needs[&model(LARGE)] > 0.0);
 }
 
@@ -198,7 +198,7 @@
         ]),
         sampled_requests: 500.0,
     };
-    let needs = needs_of(&profiles, &work).expect("sample is large enough");
+    let needs = estimate_demand(&profiles, &work).expect("sample is large enough");
     let ratio = needs[&model(SMALL)] / needs[&model(LARGE)];
     assert!(
         is_close(ratio, 2.0),
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -1,15 +1,15 @@
-//! A controller before engines that join and open by order, with an oracle.
+//! Simulation of a controller with engines that join and open by order, which checks invariants.
 //!
-//! The engines take an order only if its group is not older than their last. The
-//! oracle panics when a host joins a group while rank 0 of the group it stands in
-//! takes requests, and when a group opens that is not whole.
+//! The engines accept an order only if its group is not older than the last one they joined. The
+//! simulation panics when a host joins a group while rank 0 of its current group takes requests,
+//! and when a group opens that is not complete.
 
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use shalehinge::core::controller::{Controller, ControllerAction, Listing, Origin};
+use shalehinge::core::controller::{Controller, ControllerAction, HostListState, Origin};
 use shalehinge::core::demand::FleetWork;
 use shalehinge::core::engine::{
     Command, EngineLoad, EnginePhase, EngineStatus, HeldModel, Order, OrderReply,
@@ -26,21 +26,21 @@
 use shalehinge::settings::control::{Assembly, ControlSettings};
 
 const STEP: Duration = Duration::from_millis(50);
-/// How long a look waits for its answer.
-pub const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
-const WARM_JOIN: Duration = Duration::from_millis(1_500);
-const COLD_JOIN: Duration = Duration::from_secs(15);
+/// Time after which a probe is considered unanswered.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+const WARM_JOIN_TIME: Duration = Duration::from_millis(1_500);
+const COLD_JOIN_TIME: Duration = Duration::from_secs(15);
 
 pub const LARGE: &str = "s/large";
 pub const SMALL: &str = "s/small";
 
-/// One engine.
+/// Simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub group: Option<GroupNumber>,
     pub phase: EnginePhase,
     pub staged: Vec<ModelName>,
-    /// The model of its last group.
+    /// Model of its last group, which it holds in memory.
     pub model: Option<ModelName>,
     pub is_listed: bool,
     pub is_reachable: bool,
@@ -48,36 +48,36 @@
     fabric: usize,
     members: Vec<HostId>,
     ready_at: Timestamp,
-    newest: GroupNumber,
+    newest_group: GroupNumber,
     started: EngineStart,
 }
 
-/// The failure domain with its controller.
+/// Simulated failure domain with its controller.
 pub struct Domain {
     pub controller: Controller,
     pub engines: BTreeMap<HostId, Engine>,
     pub stored: Versioned<Assignment>,
     pub now: Timestamp,
-    /// Whether the list still tells what is new.
-    pub list_moves: bool,
-    pub loads_are_free: bool,
-    pub loads: Vec<Timestamp>,
-    /// Loads of second weights.
-    pub stages: Vec<Timestamp>,
-    pub orders: usize,
-    /// Orders that go unanswered and are carried out later.
-    pub late: Vec<(HostId, Order)>,
-    pub loses_answers: bool,
-    /// Groups that bring output to some router.
-    pub moving: Vec<GroupNumber>,
-    /// Groups that routers were told of as lost.
-    pub told_lost: Vec<GroupNumber>,
-    /// What is stored is not in the form of an assignment.
+    /// Whether the host list is still updated.
+    pub list_updates: bool,
+    pub loads_are_unlimited: bool,
+    pub load_times: Vec<Timestamp>,
+    /// Times at which weights of second models were staged.
+    pub stage_times: Vec<Timestamp>,
+    pub order_count: usize,
+    /// Orders that were not answered and are carried out later.
+    pub late_orders: Vec<(HostId, Order)>,
+    pub drops_answers: bool,
+    /// Groups that produce output according to some router.
+    pub producing_output: Vec<GroupNumber>,
+    /// Groups that were reported to routers as lost.
+    pub reported_lost: Vec<GroupNumber>,
+    /// Whether the stored assignment cannot be decoded.
     pub is_foreign: bool,
-    /// A model whose load ends the engine, which starts again under its name.
+    /// Model whose loading crashes the engine, which then restarts.
     pub crashing_model: Option<ModelName>,
-    /// Engines that ended so, and when.
-    pub ended: Vec<(Timestamp, HostId)>,
+    /// Engines that crashed during a load, and when.
+    pub crashes: Vec<(Timestamp, HostId)>,
     state: FleetState,
     list_version: u64,
     as_of: Timestamp,
@@ -125,7 +125,8 @@
 }
 
 impl Domain {
-    /// Fabric domains of these sizes, nothing formed yet, loads free.
+    /// Creates a failure domain with fabric domains of these sizes, no groups and unlimited
+    /// loads.
     pub fn new(fabrics: &[usize]) -> Self {
         let mut engines = BTreeMap::new();
         for (fabric, count) in fabrics.iter().enumerate() {
@@ -147,30 +148,30 @@
                 value: Assignment::default(),
             },
             now: Timestamp::from_millis(1_000),
-            list_moves: true,
-            loads_are_free: true,
-            loads: Vec::new(),
-            stages: Vec::new(),
-            orders: 0,
-            late: Vec::new(),
-            loses_answers: false,
-            moving: Vec::new(),
-            told_lost: Vec::new(),
+            list_updates: true,
+            loads_are_unlimited: true,
+            load_times: Vec::new(),
+            stage_times: Vec::new(),
+            order_count: 0,
+            late_orders: Vec::new(),
+            drops_answers: false,
+            producing_output: Vec::new(),
+            reported_lost: Vec::new(),
             is_foreign: false,
             crashing_model: None,
-            ended: Vec::new(),
+            crashes: Vec::new(),
             state,
             list_version: 0,
             as_of: Timestamp::ZERO,
         }
     }
 
-    /// From now on so many loads a second may begin.
+    /// Limits the number of loads that may begin per second.
     pub fn set_load_rate(&mut self, per_second: f64) {
         self.set_loads(per_second, None);
     }
 
-    /// From now on so many loads a second may begin, and so many run at full speed.
+    /// Limits the number of loads that may begin per second, and of loads that run at full speed.
     pub fn set_loads(&mut self, per_second: f64, at_once: Option<f64>) {
         let load_rate = Some(LoadRate {
             per_second,
@@ -187,22 +188,22 @@
         });
     }
 
-    /// The same with all groups open, and loads no longer free.
+    /// Creates a failure domain in which all groups are open, and loads are limited.
     pub fn serving(fabrics: &[usize]) -> Self {
         let mut domain = Self::new(fabrics);
         domain.run_for(Duration::from_secs(90));
-        domain.loads_are_free = false;
-        domain.loads.clear();
-        domain.stages.clear();
+        domain.loads_are_unlimited = false;
+        domain.load_times.clear();
+        domain.stage_times.clear();
         domain
     }
 
-    /// So much work arrives at the fleet.
-    pub fn note_work(&mut self, work: &FleetWork) {
-        self.controller.note_work(&self.state, work);
+    /// Reports the work that arrives at the fleet to the controller.
+    pub fn record_work(&mut self, work: &FleetWork) {
+        self.controller.record_work(&self.state, work);
     }
 
-    /// A host comes to this fabric domain, empty.
+    /// Adds a host without weights to this fabric domain.
     pub fn add_host(&mut self, fabric: usize) {
         self.engines
             .insert(host(self.engines.len()), Engine::new(fabric));
@@ -215,37 +216,37 @@
         }
     }
 
-    /// Steps until the condition holds, a minute at most.
+    /// Runs until the condition holds, for at most a minute. Returns the elapsed time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
-        let began = self.now;
+        let started_at = self.now;
         while !condition(self) {
             self.step();
-            let passed = self.now.since(began);
-            assert!(passed < Duration::from_secs(60), "never: {what}");
+            let elapsed = self.now.since(started_at);
+            assert!(elapsed < Duration::from_secs(60), "not within 60 s: {what}");
         }
-        self.now.since(began)
+        self.now.since(started_at)
     }
 
-    /// What the list shows now, for a successor that lags behind.
-    pub fn list_as_it_is(&self) -> (FleetState, Timestamp) {
+    /// The current host list, for a successor that lags behind.
+    pub fn current_list(&self) -> (FleetState, Timestamp) {
         (self.state.clone(), self.as_of)
     }
 
-    /// The list as it is just before a successor's first look at the assignment.
-    pub fn list_with_what_is_new(&mut self) -> (FleetState, Timestamp) {
+    /// The updated host list, as it is just before a successor first reads the assignment.
+    pub fn updated_list(&mut self) -> (FleetState, Timestamp) {
         self.update_list();
-        self.list_as_it_is()
+        self.current_list()
     }
 
-    /// Another daemon takes over, which knows only an old list and learns no newer one.
+    /// Hands control over to another daemon that has only this list and receives no newer one.
     pub fn change_holder_with_list(&mut self, (state, as_of): (FleetState, Timestamp)) {
         self.change_holder();
         self.state = state;
         self.as_of = as_of;
-        self.list_moves = false;
+        self.list_updates = false;
     }
 
-    /// Another daemon takes over, which knows nothing but what is stored.
+    /// Hands control over to another daemon that knows only the stored assignment.
     pub fn change_holder(&mut self) {
         self.controller = Controller::new(settings(), FailureDomain::new("d"));
     }
@@ -258,9 +259,9 @@
             }
         }
         self.update_list();
-        let listing = Listing {
+        let listing = HostListState {
             as_of: Some(self.as_of),
-            loads_are_free: self.loads_are_free,
+            loads_are_unlimited: self.loads_are_unlimited,
             domains: 1,
         };
         let (epoch, operation) = (Some(Epoch(1)), OperationId(1));
@@ -268,12 +269,12 @@
             .controller
             .tick(self.now, epoch, &self.state, listing, operation);
         for action in actions {
-            self.act(action);
+            self.handle(action);
         }
     }
 
     fn update_list(&mut self) {
-        if !self.list_moves {
+        if !self.list_updates {
             return;
         }
         self.as_of = self.now;
@@ -289,7 +290,7 @@
         });
     }
 
-    fn act(&mut self, action: ControllerAction) {
+    fn handle(&mut self, action: ControllerAction) {
         match action {
             ControllerAction::Read if self.is_foreign => {
                 self.controller.on_foreign(self.stored.version);
@@ -301,41 +302,41 @@
             ControllerAction::Write { expect, value } => {
                 assert_eq!(expect, self.stored.version);
                 self.is_foreign = false;
-                value.check().expect("a host is in one place");
+                value.check().expect("no host is used twice");
                 let version = Version::without_era(expect.number + 1);
                 self.stored = Versioned { version, value };
                 self.controller.on_written(version);
             }
             ControllerAction::Order { host, order, .. } => self.order(host, order),
-            ControllerAction::Probe { rank_zero, .. } => {
-                let engine = &self.engines[&rank_zero.host];
+            ControllerAction::Probe { member, .. } => {
+                let engine = &self.engines[&member.host];
                 if engine.is_reachable {
-                    let status = engine.status(&rank_zero.host);
+                    let status = engine.status(&member.host);
                     self.controller.on_status(self.now, self.now, status);
                 } else {
-                    self.give_up_look(&rank_zero.host, LOOK_TIMEOUT);
+                    self.time_out_probe(&member.host, PROBE_TIMEOUT);
                 }
             }
-            ControllerAction::AskMoving => {
-                for number in self.moving.clone() {
-                    self.controller.note_moving(self.now, number);
+            ControllerAction::AskRecentOutput => {
+                for number in self.producing_output.clone() {
+                    self.controller.record_output(self.now, number);
                 }
             }
-            ControllerAction::TellLost(number) => self.told_lost.push(number),
+            ControllerAction::NotifyLost(number) => self.reported_lost.push(number),
             ControllerAction::Log(_) => {}
         }
     }
 
-    /// A look that was begun so long ago ends without an answer.
-    pub fn give_up_look(&mut self, host: &HostId, after: Duration) {
+    /// Reports a probe, sent `after` ago, as unanswered.
+    pub fn time_out_probe(&mut self, host: &HostId, after: Duration) {
         let asked_at = self.now.minus(after);
         self.controller.on_no_status(self.now, asked_at, host);
     }
 
     fn order(&mut self, host: HostId, order: Order) {
-        self.orders += 1;
-        if self.loses_answers {
-            self.late.push((host.clone(), order));
+        self.order_count += 1;
+        if self.drops_answers {
+            self.late_orders.push((host.clone(), order));
             self.controller
                 .on_order_unanswered(self.now, self.now, &host);
             return;
@@ -355,9 +356,9 @@
             .on_order_reply(self.now, self.now, &host, &order, reply);
     }
 
-    /// Orders that went unanswered reach their engines now.
-    pub fn land_late_orders(&mut self) {
-        for (host, order) in std::mem::take(&mut self.late) {
+    /// Carries out the orders that were not answered.
+    pub fn deliver_late_orders(&mut self) {
+        for (host, order) in std::mem::take(&mut self.late_orders) {
             self.carry_out(&host, &order);
         }
     }
@@ -366,31 +367,35 @@
         let now = self.now;
         match &order.command {
             Command::Load(load) => {
-                if order.group < self.engines[host].newest {
+                if order.group < self.engines[host].newest_group {
                     return false;
                 }
                 if self.engines[host].group == Some(order.group) {
                     return true;
                 }
-                self.check_not_in_open_group(host, order.group);
+                self.assert_not_in_open_group(host, order.group);
                 if self.crashing_model.as_ref() == Some(&load.model) {
-                    self.ended.push((now, host.clone()));
-                    self.restart(host, 1_000_000 + self.ended.len() as u64);
+                    self.crashes.push((now, host.clone()));
+                    self.restart(host, 1_000_000 + self.crashes.len() as u64);
                     return true;
                 }
                 let engine = self.engines.get_mut(host).expect("known");
                 let is_warm = engine.staged.contains(&load.model)
                     || engine.model.as_ref() == Some(&load.model);
                 if !is_warm {
-                    self.loads.push(now);
+                    self.load_times.push(now);
                     engine.staged = vec![load.model.clone()];
                 }
-                let time = if is_warm { WARM_JOIN } else { COLD_JOIN };
-                let free = self.loads_are_free && !is_warm;
-                engine.ready_at = now + if free { time / 10 } else { time };
+                let time = if is_warm {
+                    WARM_JOIN_TIME
+                } else {
+                    COLD_JOIN_TIME
+                };
+                let is_unlimited = self.loads_are_unlimited && !is_warm;
+                engine.ready_at = now + if is_unlimited { time / 10 } else { time };
                 engine.phase = EnginePhase::Loading;
                 engine.group = Some(order.group);
-                engine.newest = order.group;
+                engine.newest_group = order.group;
                 engine.model = Some(load.model.clone());
                 engine.members = load.hosts.clone();
                 true
@@ -424,8 +429,8 @@
                 true
             }
             Command::Stage { model } => {
-                self.loads.push(now);
-                self.stages.push(now);
+                self.load_times.push(now);
+                self.stage_times.push(now);
                 let engine = self.engines.get_mut(host).expect("known");
                 engine.staged = vec![model.clone()];
                 true
@@ -433,13 +438,13 @@
         }
     }
 
-    fn check_not_in_open_group(&self, host: &HostId, joins: GroupNumber) {
+    fn assert_not_in_open_group(&self, host: &HostId, joins: GroupNumber) {
         let engine = &self.engines[host];
-        let Some(head) = engine.members.first().filter(|_| engine.group.is_some()) else {
+        let Some(rank_zero) = engine.members.first().filter(|_| engine.group.is_some()) else {
             return;
         };
-        let head = &self.engines[head];
-        let is_open = head.group == engine.group && head.phase == EnginePhase::Serving;
+        let rank_zero = &self.engines[rank_zero];
+        let is_open = rank_zero.group == engine.group && rank_zero.phase == EnginePhase::Serving;
         assert!(
             !is_open,
             "{host} joins {} while {:?} takes requests",
@@ -447,27 +452,27 @@
         );
     }
 
-    /// Groups whose rank 0 takes requests, by model.
+    /// Number of groups of this model whose rank 0 takes requests.
     pub fn open_groups(&self, model: &str) -> usize {
         let groups = self.stored.value.groups.iter();
         groups
             .filter(|(number, group)| {
-                let head = &self.engines[&group.members[0].host];
+                let rank_zero = &self.engines[&group.members[0].host];
                 group.model.as_str() == model
                     && group.phase == GroupPhase::Serving
-                    && head.group == Some(**number)
-                    && head.phase == EnginePhase::Serving
+                    && rank_zero.group == Some(**number)
+                    && rank_zero.phase == EnginePhase::Serving
             })
             .count()
     }
 
-    /// A group of this model that serves, with its members.
+    /// A serving group of this model, with its members.
     pub fn group_of(&self, model: &str) -> (GroupNumber, Vec<HostId>) {
         let groups = self.stored.value.groups.iter();
         let mut serving = groups.filter(|(_, group)| {
             group.model.as_str() == model && group.phase == GroupPhase::Serving
         });
-        let (number, group) = serving.next().expect("one serves");
+        let (number, group) = serving.next().expect("a group serves");
         let members = group.members.iter().map(|m| m.host.clone()).collect();
         (*number, members)
     }
@@ -476,20 +481,20 @@
         self.engines.get_mut(host).expect("known")
     }
 
-    /// The engine starts again under its name and knows nothing of before. `started` is by the
-    /// clock of its host.
+    /// Restarts the engine, which loses all its state. `started` is its start time by the clock
+    /// of its host.
     pub fn restart(&mut self, host: &HostId, started: u64) {
         let engine = self.engine(host);
         engine.group = None;
         engine.phase = EnginePhase::Idle;
         engine.model = None;
         engine.members = Vec::new();
-        engine.newest = GroupNumber(0);
+        engine.newest_group = GroupNumber(0);
         engine.started = EngineStart(started);
     }
 
-    /// The host is dark: it answers nobody, and the list forgets it after a while.
-    pub fn go_dark(&mut self, host: &HostId) {
+    /// Cuts off the host: it answers no requests, but stays in the host list.
+    pub fn cut_off(&mut self, host: &HostId) {
         self.engine(host).is_reachable = false;
     }
 }
@@ -507,7 +512,7 @@
             members: Vec::new(),
             model: None,
             ready_at: Timestamp::ZERO,
-            newest: GroupNumber(0),
+            newest_group: GroupNumber(0),
             started: EngineStart(1_000_000),
         }
     }
--- a/shalehinge/tests/placement.rs
+++ b/shalehinge/tests/placement.rs
@@ -1,4 +1,5 @@
-//! The planner alone: given these hosts, groups and intents, expect those steps.
+//! Tests of the placement planner: given hosts, groups and intents, it returns the expected
+//! steps.
 
 mod placement_support;
 
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_group_keeps_to_one_fabric_domain() {
+fn a_group_is_placed_in_one_fabric_domain() {
     let mut domain = Domain::new().fabric("a", 3).fabric("b", 4);
     domain.want("m", 4, 1);
     let steps = domain.steps();
@@ -35,19 +36,19 @@
 }
 
 #[test]
-fn nothing_is_formed_where_no_complete_group_can_be() {
+fn no_incomplete_group_is_formed() {
     let mut domain = Domain::new().fabric("a", 3).fabric("b", 3);
     domain.want("m", 4, 1);
     assert_eq!(domain.steps(), []);
 }
 
 #[test]
-fn a_group_that_lost_a_member_is_dissolved_and_its_survivors_are_used_again() {
+fn a_group_that_lost_a_member_is_dissolved_and_its_survivors_are_reused() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
-    domain.settle();
-    domain.lose("a1");
-    let steps = domain.settle();
+    domain.run_until_stable();
+    domain.lose_host("a1");
+    let steps = domain.run_until_stable();
     assert_eq!(formed(&steps), [("m", vec!["a0", "a2", "a3", "a4"])]);
 }
 
@@ -55,46 +56,46 @@
 fn a_drained_host_is_replaced_before_its_group_retires() {
     let mut domain = Domain::new().fabric("a", 4).fabric("b", 4);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     let first = domain.members_of(0);
     domain.drain(&first[0]);
     let steps = domain.steps();
     assert_eq!(formed(&steps).len(), 1);
     assert_eq!(retired(&steps), []);
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "waits until the new one serves");
+    assert_eq!(domain.steps(), [], "waits until the replacement serves");
     domain.finish_loads();
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1);
 }
 
 #[test]
-fn a_drained_host_without_a_spare_retires_its_group_all_the_same() {
+fn a_drained_host_without_a_spare_retires_its_group_without_replacement() {
     let mut domain = Domain::new().fabric("a", 4);
     domain.want("m", 4, 1);
-    domain.settle();
+    domain.run_until_stable();
     domain.drain("a2");
     assert_eq!(retired(&domain.steps()).len(), 1);
 }
 
 #[test]
-fn a_roll_takes_one_group_at_a_time_and_keeps_the_rest_serving() {
+fn a_version_change_replaces_one_group_at_a_time() {
     let mut domain = Domain::new().fabric("a", 12);
     domain.want("m", 4, 3);
-    domain.settle();
-    domain.roll("m", "v2");
-    let mut fewest = 3;
+    domain.run_until_stable();
+    domain.change_version("m", "v2");
+    let mut min_serving = 3;
     for _ in 0..100 {
         let steps = domain.steps();
         if steps.is_empty() && domain.all_of_version("v2") {
             break;
         }
         domain.apply(&steps);
-        fewest = fewest.min(domain.count(GroupPhase::Serving));
+        min_serving = min_serving.min(domain.count(GroupPhase::Serving));
         domain.finish_changes();
     }
     assert!(domain.all_of_version("v2"));
-    assert_eq!(fewest, 2);
+    assert_eq!(min_serving, 2);
 }
 
 #[test]
@@ -102,9 +103,9 @@
     let mut domain = Domain::new().fabric("a", 8);
     domain.want("large", 6, 1);
     domain.want("small", 2, 1);
-    domain.settle();
+    domain.run_until_stable();
     let mut domain = domain.fabric("b", 2);
-    domain.lose("a0");
+    domain.lose_host("a0");
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -119,27 +120,27 @@
     assert!(is_moving, "{steps:?}");
     domain.apply(&steps);
     domain.finish_changes();
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 2);
 }
 
 #[test]
-fn a_dead_host_that_can_not_acknowledge_holds_up_nothing() {
+fn a_failed_host_that_cannot_acknowledge_blocks_no_group() {
     let mut domain = Domain::new().fabric("a", 5);
     domain.want("m", 4, 1);
-    domain.settle();
-    domain.lose("a1");
-    domain.settle();
+    domain.run_until_stable();
+    domain.lose_host("a1");
+    domain.run_until_stable();
     assert_eq!(domain.releasing(), ["a1"]);
     assert_eq!(domain.count(GroupPhase::Serving), 1);
 }
 
 #[test]
-fn a_customer_above_its_share_yields_to_one_below() {
+fn a_customer_above_its_share_yields_to_one_below_its_share() {
     let mut domain = Domain::new().fabric("a", 8);
     domain.customer("one", 1).customer("other", 1);
     domain.want_for("one", "first", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want_for("other", "second", 4, 1);
     let steps = domain.steps();
     assert!(matches!(
@@ -148,7 +149,7 @@
     ));
     domain.apply(&steps);
     domain.finish_changes();
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 2);
 }
 
@@ -157,12 +158,12 @@
     let mut domain = Domain::new().fabric("a", 8);
     domain.customer("one", 3).customer("other", 1);
     domain.want_for("one", "first", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want_for("other", "second", 4, 1);
     assert_eq!(retired(&domain.steps()), []);
 }
 
-/// Prints the size of an assignment of 166 groups of 8; for docs/CAPACITY.md.
+/// Prints the size of an assignment of 160 groups of 8 hosts, for docs/CAPACITY.md.
 #[test]
 #[ignore = "a measurement; run by hand with --ignored --nocapture"]
 fn measure_size_of_an_assignment() {
@@ -171,21 +172,21 @@
         domain = domain.fabric(&format!("talca-a-fabric-{fabric:02}-host-"), 84);
     }
     domain.want("lector-llm", 8, 160);
-    domain.settle();
+    domain.run_until_stable();
     let (json, message_pack) = domain.assignment_sizes();
     println!("160 groups of 8: {json} bytes in JSON, {message_pack} in MessagePack");
 }
 
-/// One fabric domain with a large group and three small ones; the large one lost a host.
+/// One fabric domain with a large group, which lost a host, and three small groups.
 fn large_group_without_a_spare() -> Domain {
     let mut domain = Domain::new().fabric("a", 10);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 1);
     domain.want("small", 2, 3);
-    domain.settle();
+    domain.run_until_stable();
     let members = domain.members_of(0);
-    domain.lose(&members[1]);
+    domain.lose_host(&members[1]);
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -193,46 +194,48 @@
 }
 
 #[test]
-fn a_small_group_is_preempted_where_the_large_model_lacks_more() {
+fn a_small_group_is_preempted_where_the_large_model_has_the_larger_shortage() {
     let mut domain = large_group_without_a_spare();
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1);
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "the free hosts are kept for it");
+    assert_eq!(domain.steps(), [], "the free hosts are reserved for it");
     domain.finish_changes();
     let steps = domain.steps();
     assert_eq!(formed(&steps).len(), 1, "{steps:?}");
-    domain.settle();
+    domain.run_until_stable();
     assert_eq!(domain.count(GroupPhase::Serving), 3);
 }
 
 #[test]
-fn no_group_is_preempted_for_one_that_would_have_to_load() {
+fn no_group_is_preempted_where_weights_would_have_to_be_loaded() {
     let mut domain = large_group_without_a_spare();
-    domain.hold(&["small"]);
+    domain.hold_weights(&["small"]);
     assert_eq!(retired(&domain.steps()), []);
 }
 
 #[test]
-fn a_group_is_preempted_only_if_its_model_is_still_served_better() {
+fn a_group_is_preempted_only_if_its_model_stays_better_supplied() {
     let mut domain = large_group_without_a_spare();
     domain.want("small", 2, 3);
     domain.want("large", 4, 1);
-    domain.settle();
-    // One of one and two of three: the small model has no claim on the large group.
+    domain.run_until_stable();
+    // All of one large and two of three small replicas exist: the small model does not justify
+    // preempting the large group.
     assert_eq!(domain.steps(), []);
 }
 
-/// Two large groups, one of which lost a host, and three small ones, one beside it.
+/// Two large groups, one of which lost a host, and three small groups, one of them in the same
+/// fabric domain as the lost group.
 fn one_of_two_large_groups_lost() -> Domain {
     let mut domain = Domain::new().fabric("a", 6).fabric("b", 4).fabric("c", 4);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 2);
-    domain.settle();
+    domain.run_until_stable();
     domain.want("small", 2, 3);
-    domain.settle();
-    domain.lose("a0");
+    domain.run_until_stable();
+    domain.lose_host("a0");
     let steps = domain.steps();
     domain.apply(&steps);
     domain.finish_changes();
@@ -240,37 +243,37 @@
 }
 
 #[test]
-fn a_group_is_preempted_for_a_model_that_has_less_for_its_work() {
+fn a_group_is_preempted_for_a_model_with_less_supply_for_its_work() {
     let mut domain = one_of_two_large_groups_lost();
-    domain.needs = [("large", 3.0), ("small", 1.0)]
+    domain.replica_demand = [("large", 3.0), ("small", 1.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
         .into();
     assert_eq!(retired(&domain.steps()).len(), 1);
 }
 
 #[test]
-fn a_group_is_not_preempted_for_a_model_that_has_more_for_its_work() {
+fn no_group_is_preempted_for_a_model_with_more_supply_for_its_work() {
     let mut domain = one_of_two_large_groups_lost();
     assert_eq!(
         retired(&domain.steps()).len(),
         1,
-        "by the wanted counts it is"
+        "preempted when compared by wanted replicas"
     );
-    domain.needs = [("large", 0.5), ("small", 3.0)]
+    domain.replica_demand = [("large", 0.5), ("small", 3.0)]
         .map(|(model, busy)| (ModelName::new(model), busy))
         .into();
     assert_eq!(retired(&domain.steps()), []);
 }
 
 #[test]
-fn a_small_group_is_preempted_where_a_spare_would_have_to_load() {
+fn a_small_group_is_preempted_where_the_spare_host_lacks_the_weights() {
     let mut domain = large_group_without_a_spare();
     domain.add_hosts("a", 10..11);
     let steps = domain.steps();
     assert_eq!(retired(&steps).len(), 1, "{steps:?}");
-    assert_eq!(formed(&steps), [], "a load would take longer");
+    assert_eq!(formed(&steps), [], "preemption is faster than a load");
     domain.apply(&steps);
-    assert_eq!(domain.steps(), [], "the free hosts are kept for it");
+    assert_eq!(domain.steps(), [], "the free hosts are reserved for it");
     domain.finish_changes();
     let steps = domain.steps();
     let loads = steps.iter().filter_map(|step| match step {
@@ -281,16 +284,16 @@
     assert_eq!(loads, [("large", 0), ("small", 1)]);
 }
 
-/// The silent host is not counted, so that one group less is wanted. The group that serves
-/// well is not one too many while the other may have lost a member.
+/// The unreachable host is not counted, so that one group less is wanted. The serving group must
+/// not be treated as surplus while the other one may have lost a member.
 #[test]
-fn a_group_that_serves_is_no_surplus_while_another_may_have_lost_a_member() {
+fn a_serving_group_is_no_surplus_while_another_may_have_lost_a_member() {
     let mut domain = Domain::new().fabric("a", 5).fabric("b", 5);
     domain.follows_shares = true;
-    domain.hold(&["large", "small"]);
+    domain.hold_weights(&["large", "small"]);
     domain.want("large", 4, 2);
-    domain.settle();
-    domain.silence("a1");
+    domain.run_until_stable();
+    domain.mark_unreachable("a1");
     domain.want("large", 4, 1);
     domain.want("small", 2, 1);
     assert_eq!(retired(&domain.steps()), []);
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -1,4 +1,4 @@
-//! A failure domain for tests of the planner that read as examples.
+//! Simulated failure domain for tests of the placement planner.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,9 +7,9 @@
     ModelIntent,
 };
 use shalehinge::core::placement::host_choice::HostChoice;
-use shalehinge::core::placement::need::Needs;
 use shalehinge::core::placement::planner::HeldWeights;
 use shalehinge::core::placement::preview::apply_step;
+use shalehinge::core::placement::replica_demand::ReplicaDemand;
 use shalehinge::core::placement::{PlacementContext, PlacementStep, next_steps};
 use shalehinge::core::types::{
     Customer, FabricDomain, FailureDomain, GroupNumber, HostId, ModelName, ModelVersion,
@@ -20,13 +20,13 @@
     fleet: FleetConfig,
     hosts: HostList,
     assignment: Assignment,
-    down: BTreeSet<HostId>,
+    unreachable: BTreeSet<HostId>,
     lost: BTreeMap<GroupNumber, Option<HostId>>,
-    /// Whether replicas follow from shares, so that models give way to each other.
+    /// Whether replica counts follow from work shares, so that models preempt each other.
     pub follows_shares: bool,
     pub held: HeldWeights,
-    /// Replicas that the work of each model keeps busy, as far as it is known.
-    pub needs: Needs,
+    /// Replicas that the workload of each model keeps busy; empty if unknown.
+    pub replica_demand: ReplicaDemand,
 }
 
 impl Domain {
@@ -36,23 +36,23 @@
             fleet: FleetConfig::default(),
             hosts: HostList::default(),
             assignment: Assignment::default(),
-            down: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             lost: BTreeMap::new(),
             follows_shares: false,
             held: HeldWeights::new(),
-            needs: Needs::new(),
+            replica_demand: ReplicaDemand::new(),
         };
         domain.customer("all", 1);
         domain
     }
 
-    /// Hosts `name0` and so on, connected by one fabric.
+    /// Adds a fabric domain with hosts `name0`, `name1` and so on.
     pub fn fabric(mut self, name: &str, hosts: u16) -> Self {
         self.add_hosts(name, 0..hosts);
         self
     }
 
-    /// Adds hosts with these numbers to a fabric; they hold no weights.
+    /// Adds hosts with these numbers to a fabric domain; they hold no weights.
     pub fn add_hosts(&mut self, name: &str, numbers: std::ops::Range<u16>) {
         for number in numbers {
             let record = HostRecord {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// All hosts hold these models' weights.
-    pub fn hold(&mut self, models: &[&str]) {
+    /// Makes all hosts hold the weights of these models.
+    pub fn hold_weights(&mut self, models: &[&str]) {
         let version = ModelVersion::new("v1");
         let held: Vec<_> = models
             .iter()
@@ -107,7 +107,7 @@
         self.fleet.models.insert(ModelName::new(model), intent);
     }
 
-    pub fn roll(&mut self, model: &str, version: &str) {
+    pub fn change_version(&mut self, model: &str, version: &str) {
         let intent = self.fleet.models.get_mut(&ModelName::new(model));
         intent.expect("wanted").version = ModelVersion::new(version);
     }
@@ -116,19 +116,19 @@
         self.fleet.draining.insert(HostId::new(host));
     }
 
-    /// A host dies, and its group is known to be lost.
-    pub fn lose(&mut self, host: &str) {
+    /// Fails a host and marks its group as lost.
+    pub fn lose_host(&mut self, host: &str) {
         let host = HostId::new(host);
         let groups = self.assignment.groups.iter();
         let lost = groups.filter(|(_, group)| group.contains(&host));
         self.lost
             .extend(lost.map(|(number, _)| (*number, Some(host.clone()))));
-        self.down.insert(host);
+        self.unreachable.insert(host);
     }
 
-    /// A host left one probe unanswered; whether its group lost it is not known yet.
-    pub fn silence(&mut self, host: &str) {
-        self.down.insert(HostId::new(host));
+    /// Marks a host as unreachable without marking its group as lost.
+    pub fn mark_unreachable(&mut self, host: &str) {
+        self.unreachable.insert(HostId::new(host));
     }
 
     pub fn steps(&self) -> Vec<PlacementStep> {
@@ -137,14 +137,14 @@
             fleet: &self.fleet,
             hosts: &self.hosts,
             assignment: &self.assignment,
-            unreachable: &self.down,
+            unreachable: &self.unreachable,
             lost: &self.lost,
             held: &self.held,
             choice: HostChoice::BestFit,
             max_forming: 8,
             max_loads: usize::MAX,
-            keeps_surplus: self.follows_shares,
-            needs: &self.needs,
+            keep_surplus: self.follows_shares,
+            replica_demand: &self.replica_demand,
         })
     }
 
@@ -154,11 +154,11 @@
                 self.lost.remove(group);
             }
             apply_step(&mut self.assignment, step);
-            self.assignment.check().expect("no host twice");
+            self.assignment.check().expect("no host is used twice");
         }
     }
 
-    /// Forming groups serve.
+    /// Lets all forming groups serve.
     pub fn finish_loads(&mut self) {
         for group in self.assignment.groups.values_mut() {
             if group.phase == GroupPhase::Forming {
@@ -167,19 +167,21 @@
         }
     }
 
-    /// Forming groups serve, and all live hosts acknowledge their release.
+    /// Lets all forming groups serve, and all live hosts confirm their release.
     pub fn finish_changes(&mut self) {
         self.finish_loads();
-        let down = &self.down;
+        let unreachable = &self.unreachable;
         let assignment = &mut self.assignment;
-        assignment.releasing.retain(|host, _| down.contains(host));
+        assignment
+            .releasing
+            .retain(|host, _| unreachable.contains(host));
         assignment
             .groups
             .retain(|_, group| group.phase != GroupPhase::Retiring);
     }
 
-    /// Applies and finishes steps until there are none; says which there were.
-    pub fn settle(&mut self) -> Vec<PlacementStep> {
+    /// Applies and completes steps until the planner returns none. Returns all steps.
+    pub fn run_until_stable(&mut self) -> Vec<PlacementStep> {
         let mut all = Vec::new();
         for _ in 0..50 {
             let steps = self.steps();
@@ -190,7 +192,7 @@
             self.finish_changes();
             all.extend(steps);
         }
-        panic!("does not settle: {all:?}");
+        panic!("does not converge: {all:?}");
     }
 
     pub fn count(&self, phase: GroupPhase) -> usize {
@@ -203,7 +205,7 @@
         groups.all(|group| group.version.as_str() == version && group.phase == GroupPhase::Serving)
     }
 
-    /// Members of the group that was formed as the `index`th.
+    /// Members of the group that was formed as number `index`, starting at 0.
     pub fn members_of(&self, index: u64) -> Vec<String> {
         let number = GroupNumber(GroupNumber::FIRST.0 + index);
         let group = &self.assignment.groups[&number];
@@ -216,7 +218,7 @@
         hosts.map(|host| host.as_str()).collect()
     }
 
-    /// Bytes of the assignment in JSON and in MessagePack.
+    /// Size of the assignment in bytes, as JSON and as MessagePack.
     pub fn assignment_sizes(&self) -> (usize, usize) {
         let json = serde_json::to_vec(&self.assignment).expect("JSON");
         let message_pack = rmp_serde::to_vec(&self.assignment).expect("MessagePack");
