--- a/shalehinge/src/core/router/availability.rs
+++ b/shalehinge/src/core/router/availability.rs
@@ -1,7 +1,8 @@
-//! Whether and when an upstream may get a request of this daemon.
+//! Whether and when an upstream can accept a request from this daemon.
 //!
-//! Every path to an upstream asks [`Upstream::availability`]: the choice, retries, streams that go on
-//! elsewhere, trials, permits, early refusal and the time that refused callers get.
+//! Every code path that sends to an upstream uses [`Upstream::availability`]: upstream selection,
+//! retries, resumed streams, trials, permits, early refusal, and the retry-after time that
+//! refused callers receive.
 
 use std::time::Duration;
 
@@ -10,23 +11,24 @@
 use super::target::TargetState;
 use super::upstream::{Evidence, Upstream};
 
-/// Whether and when an upstream may get a request.
+/// Whether and when an upstream can accept a request from this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It may get one now.
+    /// A request can be sent now.
     Open,
-    /// It may get one with a permit of its limit's owner.
+    /// A request can be sent once the limit's owner has granted a permit.
     NeedsPermit,
-    /// It may get one from then on: it asked for a cooldown, failed, or was ejected.
+    /// No request can be sent before this time: the upstream requested a cooldown, failed or was
+    /// ejected.
     From(Timestamp),
-    /// Nothing shows at present that it can serve.
+    /// There is currently no evidence that the upstream can serve.
     Unproven,
-    /// It gets none any more.
+    /// The upstream accepts no further requests.
     Closed,
 }
 
 impl Upstream {
-    /// Whether and when it may get a request of this daemon.
+    /// Returns whether and when this daemon can send the upstream a request.
     pub fn availability(&self, now: Timestamp) -> Availability {
         if !self.is_present(now) {
             return Availability::Closed;
@@ -46,7 +48,7 @@
         Availability::Open
     }
 
-    /// Whether it may serve, perhaps with a permit.
+    /// Whether the upstream can serve, possibly only with a permit.
     pub fn is_eligible(&self, now: Timestamp) -> bool {
         matches!(
             self.availability(now),
@@ -54,17 +56,18 @@
         )
     }
 
-    /// Whether a request may be sent there now.
+    /// Whether a request can be sent to the upstream now.
     pub fn may_be_sent(&self, now: Timestamp) -> bool {
         self.availability(now) == Availability::Open
     }
 
-    /// From when on it may serve, on what is known now; `None` if nothing shows that it will.
+    /// The earliest time at which the upstream is expected to serve, based on current knowledge;
+    /// `None` if nothing indicates that it will.
     fn available_from(&self, now: Timestamp) -> Option<Timestamp> {
         match self.availability(now) {
             Availability::Open | Availability::NeedsPermit => Some(now),
             Availability::From(at) => Some(at),
-            // One that stalls may move again at any moment.
+            // A stalled listed upstream may resume at any time.
             Availability::Unproven => (self.spec.evidence == Evidence::Listed).then_some(now),
             Availability::Closed => None,
         }
@@ -72,8 +75,8 @@
 }
 
 impl TargetState {
-    /// How long no upstream may serve, on what is known now; `None` if nothing shows that one
-    /// will.
+    /// How long no upstream of the target will be able to serve, based on current knowledge. Zero
+    /// if one can serve now; `None` if nothing indicates that any will.
     pub(super) fn unavailable_for(&self, now: Timestamp) -> Option<Duration> {
         let upstreams = self.upstreams.iter();
         let earliest = upstreams.filter_map(|u| u.available_from(now)).min();
--- a/shalehinge/src/core/router/capacity.rs
+++ b/shalehinge/src/core/router/capacity.rs
@@ -1,13 +1,13 @@
-//! Whether a target has as many upstreams as it lately had.
+//! Detects whether a target has fewer upstreams than it had recently.
 
 use std::time::Duration;
 
 use crate::core::types::Timestamp;
 
-/// How long a number of upstreams counts as what there should be.
+/// How long the highest observed number of upstreams is retained as the expected number.
 const REMEMBERED: Duration = Duration::from_secs(10);
 
-/// The most upstreams of a target that were there lately.
+/// The highest number of upstreams that a target had recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UsualCapacity {
     most: usize,
@@ -15,7 +15,7 @@
 }
 
 impl UsualCapacity {
-    /// So many are there now.
+    /// Records the number of upstreams that are present now.
     pub fn note(&mut self, now: Timestamp, present: usize) {
         if present >= self.most || now.since(self.seen_at) > REMEMBERED {
             self.most = present;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Whether fewer are there than lately.
+    /// Whether fewer upstreams are present than recently.
     pub fn is_short(&self, present: usize) -> bool {
         present < self.most
     }
--- a/shalehinge/src/core/router/choose.rs
+++ b/shalehinge/src/core/router/choose.rs
@@ -1,10 +1,11 @@
-//! Choice of an upstream for one request.
+//! Selects an upstream for a request.
 //!
-//! The score is the part of the capacity in use, plus what of the prompt must
-//! be computed anew, times how much slower the upstream is than the median.
-//! The lowest score of a few random candidates, and of those that hold the
-//! prompt's start, wins. The few avoid that all daemons pick the same upstream
-//! from reports of the same age.
+//! The score of an upstream is its load (the fraction of its capacity in use) plus a weighted
+//! fraction of the prompt that is not in its cache, multiplied by its slowness relative to the
+//! median upstream, plus a penalty for distance. The upstream with the lowest score wins among a
+//! small random sample, the upstream with the longest cached prefix, and limited upstreams with a
+//! permit. Sampling keeps daemons from all selecting the same upstream based on load reports of
+//! the same age.
 
 use std::time::Duration;
 
@@ -16,26 +17,26 @@
 use super::request::{PrefixChain, UpstreamId};
 use super::upstream::{Upstream, Work};
 
-/// Random candidates that are compared.
+/// Number of randomly sampled upstreams that are compared.
 const SAMPLE: usize = 5;
-/// What a prompt that must be computed whole counts against a full upstream.
+/// Score of a prompt that is entirely uncached, relative to a fully loaded upstream.
 const PREFIX_WEIGHT: f64 = 0.4;
-/// Slowness above this counts no further.
+/// Upper bound of the slowness factor.
 const MOST_SLOWNESS: f64 = 5.0;
-/// What a second of extra distance counts against a full upstream.
+/// Score per second of remote penalty, relative to a fully loaded upstream.
 const DISTANCE_WEIGHT: f64 = 1.0;
 
-/// A chosen upstream and the figures behind the choice, for the log line.
+/// A selected upstream, with the figures behind the choice for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Place in the list of candidates.
+    /// Index into the target's list of upstreams.
     pub index: usize,
-    /// Figures of those that were compared.
+    /// Figures of the upstreams that were compared.
     pub compared: Vec<Candidate>,
 }
 
 impl Choice {
-    /// A choice for which nothing was compared.
+    /// A choice made without comparing scores.
     pub fn without_figures(index: usize) -> Self {
         Self {
             index,
@@ -44,45 +45,45 @@
     }
 }
 
-/// Figures of one candidate.
+/// Figures of one candidate upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Which upstream.
+    /// The candidate.
     pub upstream: UpstreamId,
-    /// Part of its capacity in use.
+    /// Fraction of its capacity in use.
     pub load: f64,
-    /// Blocks of the prompt that it probably holds.
+    /// Number of prompt blocks that its cache probably holds.
     pub prefix_blocks: usize,
     /// The score; lower is better.
     pub score: f64,
 }
 
-/// What a choice depends on.
+/// Inputs to the selection.
 pub struct ChoiceContext<'a> {
-    /// Now.
+    /// The current time.
     pub now: Timestamp,
     /// Settings of the router.
     pub settings: &'a RouterSettings,
-    /// Start of the prompt.
+    /// Hashes of the prompt's prefixes.
     pub prefix: &'a PrefixChain,
-    /// What the request costs.
+    /// Estimated cost of the request.
     pub work: Work,
-    /// Upstreams that were tried before.
+    /// Upstreams to exclude because the request was already sent to them.
     pub tried: &'a [UpstreamId],
-    /// Counts the choices of this target, for taking turns.
+    /// Number of requests sent to this target so far, used for round-robin.
     pub turn: usize,
 }
 
-/// What came of a choice.
+/// Result of the selection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Selection {
-    /// Where the request may go now, if anywhere.
+    /// The upstream to send the request to now, if any.
     pub choice: Option<Choice>,
-    /// The upstream that would have been chosen if there were a permit for it.
+    /// Index of the upstream that would have been selected if this daemon had a permit for it.
     pub wanted: Option<usize>,
 }
 
-/// Picks an upstream with room that may be sent the request.
+/// Selects an eligible upstream with room for the request.
 pub fn choose(
     upstreams: &[Upstream],
     context: &ChoiceContext<'_>,
@@ -165,7 +166,8 @@
             .max();
         picked.extend(holder.map(|(_, index)| index));
     }
-    // Else permits lapse unused in a large fleet, and no answer ever ends the limit.
+    // Always consider limited upstreams with a permit. Otherwise, in a large fleet, permits would
+    // expire unused, and no answer would arrive to show that the limit has ended.
     let has_permit = |index: &usize| {
         let limit = &upstreams[*index].limit;
         limit.rate().is_some() && limit.may_send(context.now)
@@ -173,7 +175,8 @@
     picked.extend(open.iter().copied().filter(has_permit));
     picked.sort_unstable();
     picked.dedup();
-    // The first of equals wins: no daemon may have the same first one each time.
+    // The first of several equal scores wins, so shuffle to keep a daemon from always preferring
+    // the same upstream.
     picked.shuffle(rng);
     let scored: Vec<(usize, Candidate)> = picked
         .into_iter()
@@ -201,7 +204,8 @@
     let settings = context.settings;
     let load = upstream.load(settings);
     let held = upstream.prefixes.matching_blocks(context.prefix);
-    // A small floor lets affinity work when nearly nothing runs.
+    // Lower bound of the mean load, so that prefix affinity also takes effect when the target is
+    // nearly idle.
     const IDLE_LOAD: f64 = 0.2;
     let bound = settings.affinity_load_bound * mean_load.max(IDLE_LOAD);
     let counts = settings.prefix_affinity && load <= bound && !context.prefix.is_empty();
@@ -224,7 +228,8 @@
     }
 }
 
-/// How many times slower than typical; 1 if not known.
+/// The upstream's token interval relative to the typical one, between 1 and [`MOST_SLOWNESS`]; 1
+/// if unknown.
 fn slowness(upstream: &Upstream, typical: Option<Duration>) -> f64 {
     let (Some(own), Some(typical)) = (upstream.token_interval.get(), typical) else {
         return 1.0;
@@ -232,7 +237,8 @@
     (own.as_secs_f64() / typical.as_secs_f64().max(f64::EPSILON)).clamp(1.0, MOST_SLOWNESS)
 }
 
-/// The median time between two tokens over all upstreams.
+/// The median interval between two output tokens over all upstreams; `None` if no upstream has
+/// been measured.
 pub fn typical_interval(upstreams: &[Upstream]) -> Option<Duration> {
     let mut intervals: Vec<Duration> = upstreams
         .iter()
--- a/shalehinge/src/core/router/cooldown.rs
+++ b/shalehinge/src/core/router/cooldown.rs
@@ -1,38 +1,39 @@
-//! Cooldowns that an upstream asked this daemon for.
+//! Cooldowns that an upstream requested from this daemon.
 //!
-//! It gets nothing until the cooldown ends, and then one request at a time until one brings
-//! output. A cooldown of hours may be a mistake: it is tested by a few single requests.
+//! The upstream receives no requests until the cooldown ends, and then one at a time until one of
+//! them produces output. A cooldown of several hours may be a mistake, so a few single requests
+//! are sent during it as probes.
 
 use std::time::Duration;
 
 use crate::core::signal::RequestedCooldown;
 use crate::core::types::Timestamp;
 
-/// Time without any request after which one tests whether a cooldown still holds.
+/// Time without a request after which a probe checks whether the cooldown is still needed.
 const TEST_AFTER: Duration = Duration::from_secs(600);
-/// Requests that test one cooldown at most.
+/// Maximum number of probes per cooldown.
 const MOST_TESTS: u32 = 2;
 
-/// A change that operators should see.
+/// A change to report in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CooldownChange {
-    /// It wants no requests for so long.
+    /// The upstream asked for no requests for this long.
     Begins(Duration),
-    /// It asks for something that is no time.
+    /// The requested cooldown is not a valid duration; holds its text.
     Unreadable(String),
 }
 
-/// The cooldown of one upstream.
+/// The cooldown state of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldown {
     until: Timestamp,
-    /// When an answer last asked for one.
+    /// When an answer last requested a cooldown.
     requested_at: Timestamp,
-    /// It began, and was not seen to end yet.
+    /// A cooldown has begun and its end has not been reported yet.
     is_in_force: bool,
-    /// No request that was sent since has brought output.
+    /// No request sent since the cooldown was requested has produced output yet.
     is_recovering: bool,
-    /// A request that was sent since runs there.
+    /// A request sent since the cooldown was requested is in flight.
     is_tried: bool,
     tests_left: u32,
     next_test_at: Timestamp,
@@ -40,12 +41,12 @@
 }
 
 impl Cooldown {
-    /// When it ends.
+    /// When the cooldown ends.
     pub fn until(&self) -> Timestamp {
         self.until
     }
 
-    /// Until when no request may be sent, if none may be now.
+    /// The time before which no request may be sent; `None` if one may be sent now.
     pub fn blocked_until(&self, now: Timestamp) -> Option<Timestamp> {
         let until = if self.tests_left > 0 {
             self.until.min(self.next_test_at)
@@ -55,13 +56,14 @@
         (now < until).then_some(until)
     }
 
-    /// Whether one request more may run there, as far as the last cooldown goes.
+    /// Whether the upstream may run one more request, as far as the cooldown is concerned: while
+    /// it recovers, it runs one at a time.
     pub fn has_room(&self) -> bool {
         !(self.is_recovering && self.is_tried)
     }
 
-    /// An answer came that asks for this. One that asks for less ends no cooldown early: answers
-    /// overtake one another, and each counts for its own time.
+    /// Handles the cooldown requested by an answer. A shorter cooldown never ends an earlier one
+    /// prematurely: answers may arrive out of order, and each applies for its own duration.
     pub fn on_requested(
         &mut self,
         now: Timestamp,
@@ -98,7 +100,7 @@
         Some(CooldownChange::Begins(time))
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent to the upstream.
     pub fn on_sent(&mut self, now: Timestamp) {
         self.is_tried = self.is_recovering;
         if now < self.until {
@@ -107,8 +109,8 @@
         }
     }
 
-    /// A request that was sent at `sent_at` brought output. One from before the upstream asked for
-    /// the cooldown shows nothing.
+    /// Records that a request sent at `sent_at` produced output. Output of a request sent before
+    /// the cooldown was requested proves nothing.
     pub fn on_output(&mut self, now: Timestamp, sent_at: Timestamp) {
         if sent_at > self.requested_at {
             self.is_recovering = false;
@@ -116,14 +118,14 @@
         }
     }
 
-    /// A request that was sent at `sent_at` has ended.
+    /// Records that a request sent at `sent_at` has ended.
     pub fn on_ended(&mut self, sent_at: Timestamp) {
         if sent_at > self.requested_at {
             self.is_tried = false;
         }
     }
 
-    /// Whether it ended since this was last asked.
+    /// Whether the cooldown has ended since the last call.
     pub fn take_end(&mut self, now: Timestamp) -> bool {
         let has_ended = self.is_in_force && now >= self.until;
         if has_ended {
--- a/shalehinge/src/core/router/dispatch.rs
+++ b/shalehinge/src/core/router/dispatch.rs
@@ -1,7 +1,8 @@
-//! The state machine that joins queue, choice, attempts and outcomes.
+//! The router's state machine, which combines queueing, upstream selection, attempts and
+//! outcomes.
 //!
-//! Every request that is submitted gets exactly one answer. A request that was
-//! given up gets it at once.
+//! Every submitted request receives exactly one answer. A cancelled request is answered
+//! immediately.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,44 +28,45 @@
 use super::trying::{NO_TRIAL, TrialState};
 use super::upstream::Upstream;
 
-/// Part of a shared burst that is used: not all daemons know of each other.
+/// Fraction of its share of the fleet-wide retry burst that a daemon uses, as not every daemon
+/// knows of all others.
 const SAFE_BURST: f64 = 0.7;
-/// Candidates named in a log line.
+/// Maximum number of candidates included in a log line.
 const LOGGED_CANDIDATES: usize = 4;
 
-/// What the router wants done.
+/// An action for the caller of the router to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterAction {
     /// Send a request to an upstream.
     Send(Attempt),
-    /// Give a caller its final answer.
+    /// Give the caller of a request its final answer.
     Answer {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// Break off an attempt and never use its connection again.
+    /// Cancel an attempt and do not reuse its connection.
     Abandon(AttemptId),
-    /// Look whether an upstream is still there.
+    /// Check whether an upstream is still running after an attempt was lost.
     CheckUpstream {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Where it listened.
+        /// The address it last listened on.
         address: Address,
     },
-    /// Tell a limit's owner what an answer said.
+    /// Report a limit named by an upstream's answer to the limit's owner.
     TellLimit(LimitReport),
-    /// Ask a limit's owner for permits.
+    /// Request permits from a limit's owner.
     AskPermits {
-        /// What is known of the limit.
+        /// What this daemon knows of the limit.
         known: LimitReport,
-        /// Permits that can be used soon.
+        /// Number of permits that this daemon can use soon.
         wanted: u32,
     },
-    /// Ask whoever hands out the trials of a target for one.
+    /// Request a trial of a suspected request from the owner of the target's trials.
     AskTrial(TrialRequest),
-    /// A line for the log of decisions.
+    /// Write a line to the log of routing decisions.
     Log(String),
 }
 
@@ -81,15 +83,15 @@
     pub(super) waiting: usize,
     pub(super) keys_until: Option<Timestamp>,
     pub(super) quarantine: Quarantine,
-    /// Attempts that broke off at upstreams which are being looked for.
+    /// Lost attempts, by upstream, while it is being checked whether the upstream crashed.
     pub(super) unexplained: BTreeMap<UpstreamId, Unexplained>,
-    /// Requests on trial here, and where.
+    /// Upstreams at which suspected requests are or were tried by this daemon.
     pub(super) tried: BTreeMap<Fingerprint, UpstreamId>,
     pub(super) ticked_at: Timestamp,
 }
 
 impl Router {
-    /// A router without upstreams.
+    /// Creates a router without upstreams.
     pub fn new(settings: RouterSettings, incarnation: Incarnation) -> Self {
         Self {
             retries: if settings.retry_burst_is_shared {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// How many daemons send to the same upstreams.
+    /// Sets the number of daemons that send to the same upstreams, at least 1.
     pub fn set_sharers(&mut self, sharers: usize) {
         self.sharers = sharers.max(1);
         for state in self.targets.values_mut() {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Takes in which upstreams there are; what is known of those that stay is kept.
+    /// Replaces the set of upstreams. State of upstreams that remain is kept.
     pub fn set_topology(&mut self, topology: Topology) {
         for (target, specs) in topology.iter() {
             let state = self.targets.entry(target.clone()).or_default();
@@ -147,7 +149,7 @@
                 upstream.update(spec.clone());
                 state.upstreams.push(upstream);
             }
-            // Those that left the topology stay until their requests have ended.
+            // Upstreams that left the topology are kept until their requests have ended.
             for mut upstream in old {
                 if upstream.in_flight() > 0 {
                     upstream.spec.accepts_new = false;
@@ -164,17 +166,17 @@
         }
     }
 
-    /// Requests not yet answered.
+    /// Number of requests not yet answered.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Requests that wait for an upstream.
+    /// Number of requests waiting for an upstream.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Upstreams of a target that may serve now, and all of them.
+    /// Numbers of eligible upstreams and of all upstreams of a target.
     pub fn eligible(&self, now: Timestamp, target: &Target) -> (usize, usize) {
         let Some(state) = self.targets.get(target) else {
             return (0, 0);
@@ -183,17 +185,18 @@
         (eligible.count(), state.upstreams.len())
     }
 
-    /// All upstreams with whether they may serve, for status pages.
+    /// All upstreams of all targets.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.targets.values().flat_map(|state| &state.upstreams)
     }
 
-    /// What a request is for that is not yet answered.
+    /// The target of a request that has not been answered yet.
     pub fn target_of(&self, request: RequestId) -> Option<&Target> {
         Some(&self.pending.get(&request)?.meta.target)
     }
 
-    /// Takes in a request of a customer with this share.
+    /// Accepts a request of a customer with this share. It is sent, queued, held for a trial or
+    /// refused.
     pub fn submit(
         &mut self,
         now: Timestamp,
@@ -243,7 +246,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Sends waiting requests while there is room.
+    /// Sends queued requests of a target while upstreams have room.
     pub(super) fn dispatch(
         &mut self,
         now: Timestamp,
@@ -283,7 +286,8 @@
             let selection = state.choose_for(now, &self.settings, pending, rng);
             let Some(choice) = selection.choice else {
                 if matches!(pending.trial, TrialState::At(_)) {
-                    // Its upstream is gone: the others that wait must not wait for it.
+                    // The upstream of the trial is gone. Requests queued behind it must not wait
+                    // for it.
                     self.end_next(target, NO_TRIAL, out);
                     continue;
                 }
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Takes the next request out of a target's line and ends it.
+    /// Removes the next request from a target's queue and answers it.
     fn end_next(&mut self, target: &Target, outcome: Outcome, out: &mut Vec<RouterAction>) {
         let state = self.targets.get_mut(target);
         if let Some(next) = state.and_then(|state| state.queue.pop()) {
@@ -336,7 +340,7 @@
         }
     }
 
-    /// The first output of an attempt reached the caller.
+    /// Handles the first output of an attempt that reaches the caller.
     pub fn on_output(&mut self, now: Timestamp, request: RequestId, attempt: AttemptId) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
@@ -358,7 +362,7 @@
         }
     }
 
-    /// More output of an attempt came.
+    /// Handles further output of an attempt.
     pub fn on_progress(&mut self, now: Timestamp, request: RequestId, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -372,7 +376,8 @@
         }
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt: the request is answered, retried, or held until its
+    /// upstream has been checked.
     pub fn on_ended(
         &mut self,
         now: Timestamp,
@@ -400,7 +405,7 @@
             let fault = state.settle(now, &self.settings, pending, &running, end);
             if let Some(Fault::OfRequest { failed_at }) = fault {
                 out.push(RouterAction::Log(format!(
-                    "request {} failed at {} as it did at {failed_at}, which is not counted against them",
+                    "request {} failed at {} as it did at {failed_at}; this failure is not counted against the upstream",
                     request.0, running.upstream
                 )));
             }
@@ -419,7 +424,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Ends a request; `last` is what its last attempt came to.
+    /// Answers a request; `last` is the outcome of its last attempt.
     pub(super) fn answer(
         &mut self,
         request: RequestId,
@@ -433,7 +438,8 @@
         out.push(RouterAction::Answer { request, outcome });
     }
 
-    /// Tries again where that is safe, useful and within the budget.
+    /// Retries a request if that is safe, useful and within the retry budget, and answers it
+    /// otherwise.
     pub(super) fn retry_or_answer(
         &mut self,
         now: Timestamp,
@@ -467,7 +473,7 @@
             return;
         }
         let line = format!(
-            "request {} tries again after {outcome:?}, attempt {}",
+            "request {} is retried after {outcome:?}, attempt {}",
             request.0, pending.attempts
         );
         out.push(RouterAction::Log(line));
@@ -480,7 +486,8 @@
         }
     }
 
-    /// The caller left: what has not been sent is dropped, what runs is broken off.
+    /// Cancels a request whose caller left: a waiting request is dropped, a running attempt is
+    /// cancelled.
     pub fn cancel(&mut self, request: RequestId, out: &mut Vec<RouterAction>) {
         let Some(pending) = self.pending.remove(&request) else {
             return;
@@ -514,7 +521,7 @@
     }
 }
 
-/// What the end of the only attempt says of the request.
+/// The outcome of a request whose only attempt ended in this way.
 fn outcome_of(end: AttemptEnd, retry_after: impl FnOnce() -> Duration) -> Outcome {
     match end {
         AttemptEnd::Completed { .. } => Outcome::Completed,
@@ -532,11 +539,11 @@
     }
 }
 
-/// The log line of one routing decision.
+/// Formats the log line of a routing decision.
 fn decision(request: RequestId, pending: &Pending, state: &TargetState, choice: &Choice) -> String {
     let chosen = &state.upstreams[choice.index].spec.id;
     let mut line = format!(
-        "request {} of {} to {chosen} for {}, attempt {}, {} wait;",
+        "request {} of {} to {chosen} for {}, attempt {}, {} queued;",
         request.0,
         pending.meta.customer,
         pending.meta.target,
--- a/shalehinge/src/core/router/estimate.rs
+++ b/shalehinge/src/core/router/estimate.rs
@@ -1,15 +1,15 @@
-//! How fast a target's waiting line drains, and so how long a wait would be.
+//! Estimates how fast a target's queue drains and how long a request will wait.
 
 use std::time::Duration;
 
 use crate::core::types::Timestamp;
 
-/// Weight of a new window against the past.
+/// Weight of a new window in the smoothed rate.
 const SMOOTHING: f64 = 0.3;
-/// Length of one window.
+/// Length of a measurement window.
 const WINDOW: Duration = Duration::from_millis(500);
 
-/// Tokens that one target finishes for this daemon, per second.
+/// The rate at which this daemon's requests to one target are processed, in tokens per second.
 #[derive(Clone, Debug, Default)]
 pub struct DrainRate {
     tokens_per_second: Option<f64>,
@@ -18,19 +18,22 @@
 }
 
 impl DrainRate {
-    /// Work of this cost was sent at `now`; `line_waits` says whether more waited.
+    /// Records that a request of `cost` tokens was sent at `now`; `line_waits` tells whether more
+    /// requests are queued.
     pub fn record(&mut self, now: Timestamp, cost: f64, line_waits: bool) {
         self.roll(now, line_waits);
         self.window_tokens += cost;
     }
 
-    /// Nothing could be sent: the time until now shows nothing.
+    /// Restarts the measurement window at `now`. Used when nothing can be sent, as the elapsed
+    /// time then says nothing about the rate.
     pub fn restart(&mut self, now: Timestamp) {
         self.window_start = now;
         self.window_tokens = 0.0;
     }
 
-    /// Closes a window; without a line the rate is only a lower bound.
+    /// Ends the window if it is long enough. If no requests are queued, the measured rate is only
+    /// a lower bound, so it can raise the estimate but not lower it.
     fn roll(&mut self, now: Timestamp, line_waits: bool) {
         let passed = now.since(self.window_start);
         if passed < WINDOW {
@@ -46,7 +49,8 @@
         self.window_tokens = 0.0;
     }
 
-    /// Time until this cost is through, at a part of the rate; `None` if not known.
+    /// Time to process `cost` tokens at a fraction of the rate, at most one hour; `None` if the
+    /// rate is unknown.
     pub fn wait(&self, cost: f64, part: f64) -> Option<Duration> {
         const MOST: f64 = 3600.0;
         let rate = self.tokens_per_second? * part;
@@ -57,12 +61,12 @@
     }
 }
 
-/// A smoothed mean of durations.
+/// An exponential moving average of durations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SmoothedDuration(Option<Duration>);
 
 impl SmoothedDuration {
-    /// Takes in one value.
+    /// Adds a sample.
     pub fn record(&mut self, value: Duration) {
         const SMOOTHING: f64 = 0.1;
         let smoothed = self.0.map_or(value, |known| {
@@ -71,23 +75,23 @@
         self.0 = Some(smoothed);
     }
 
-    /// The mean, if anything was recorded.
+    /// The average; `None` without samples.
     pub fn get(self) -> Option<Duration> {
         self.0
     }
 }
 
-/// An estimate that follows low values quickly and high ones slowly: what a request takes
-/// that need not wait.
+/// An estimate that follows low samples quickly and high samples slowly. It approximates the
+/// duration of a request that does not have to wait.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LowerEnvelope(Option<Duration>);
 
 impl LowerEnvelope {
-    /// Takes in one value.
+    /// Adds a sample.
     pub fn record(&mut self, value: Duration) {
-        /// Weight of a value below the estimate.
+        /// Weight of a sample below the estimate.
         const FALL: f64 = 0.3;
-        /// Weight of a value above it. Some seventy of them take it half the way.
+        /// Weight of a sample above the estimate; about 70 samples move it halfway.
         const RISE: f64 = 0.01;
         let estimate = self.0.map_or(value, |known| {
             let weight = if value < known { FALL } else { RISE };
@@ -96,7 +100,7 @@
         self.0 = Some(estimate);
     }
 
-    /// The estimate, if anything was recorded.
+    /// The estimate; `None` without samples.
     pub fn get(self) -> Option<Duration> {
         self.0
     }
--- a/shalehinge/src/core/router/expiry.rs
+++ b/shalehinge/src/core/router/expiry.rs
@@ -1,4 +1,4 @@
-//! What time brings: deadlines that pass, and room that is there again.
+//! Periodic work: expired deadlines, and dispatch to upstreams that have room again.
 
 use crate::core::types::{RequestId, Timestamp};
 
@@ -6,7 +6,8 @@
 use super::request::{NotRunReason, Outcome, Target, UnknownReason};
 
 impl Router {
-    /// Ends what is past its deadline and sends what has room by now.
+    /// Ends requests past their deadline, detects stalled upstreams, and sends queued requests
+    /// that now have room. To be called periodically.
     pub fn tick(&mut self, now: Timestamp, rng: &mut impl rand::Rng, out: &mut Vec<RouterAction>) {
         self.end_cooldowns(now, out);
         self.expire_waiting(now, out);
--- a/shalehinge/src/core/router/failing.rs
+++ b/shalehinge/src/core/router/failing.rs
@@ -1,9 +1,9 @@
-//! Requests that fail wherever they run, so that their failures show nothing of upstreams.
+//! Detects requests that fail on every upstream, whose failures say nothing about the upstreams.
 //!
-//! A failure counts against the upstream that answered it, unless the same request failed at
-//! another one too and was completed by none since. Guards against one caller's request that
-//! takes one upstream after the other out of use for all, until none may be ejected that really
-//! fails.
+//! A failure counts against the upstream that returned it, unless the same request also failed on
+//! another upstream and no upstream has completed it since. Otherwise a failing request of one
+//! caller would eject one upstream after another for all callers, until the limit on ejections is
+//! reached and upstreams that are really failing can no longer be ejected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,21 @@
 
 use super::request::UpstreamId;
 
-/// How long a failure is remembered after the last one of the same request. As long as
-/// the longest ejection, so that a request that comes less often ejects one upstream at a time.
+/// How long a failure is remembered after the last failure of the same request. Equal to the
+/// longest ejection, so that a request that arrives less often ejects only one upstream at a
+/// time.
 const FAILURE_MEMORY: Duration = Duration::from_secs(60);
-/// Requests that are remembered at most, some 100 bytes each.
+/// Maximum number of requests to remember, at about 100 bytes each.
 const MOST_RECORDS: usize = 1_024;
 
-/// What a failure shows.
+/// What a failure is attributed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It counts against the upstream that answered it.
+    /// The upstream that returned it.
     OfUpstream,
-    /// It is the request's own.
+    /// The request itself.
     OfRequest {
-        /// Another upstream at which the same request failed.
+        /// Another upstream on which the same request failed.
         failed_at: UpstreamId,
     },
 }
@@ -34,19 +35,19 @@
 #[derive(Clone, Debug)]
 struct Record {
     first_at: UpstreamId,
-    /// Another upstream at which it failed as well.
+    /// Another upstream on which the request failed as well.
     other: Option<UpstreamId>,
     last: Timestamp,
 }
 
-/// Requests that failed lately, and that none completed since.
+/// Requests that failed recently and that no upstream has completed since.
 #[derive(Clone, Debug, Default)]
 pub struct FailingRequests {
     records: BTreeMap<Fingerprint, Record>,
 }
 
 impl FailingRequests {
-    /// An upstream answered that it failed.
+    /// Records that an upstream returned a failure, and attributes it.
     pub fn note_failure(
         &mut self,
         now: Timestamp,
@@ -72,7 +73,8 @@
         }
     }
 
-    /// An upstream completed it, so that its failures were those of upstreams.
+    /// Records that an upstream completed the request, so that its earlier failures are
+    /// attributable to upstreams.
     pub fn note_completion(&mut self, fingerprint: Fingerprint) {
         self.records.remove(&fingerprint);
     }
--- a/shalehinge/src/core/router/keys.rs
+++ b/shalehinge/src/core/router/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of relayed requests: how long they count, and what becomes of waiting
-//! requests whose key is taken away.
+//! API keys of relayed requests: until when they are trusted, and what happens to waiting
+//! requests whose key is revoked.
 
 use crate::core::types::{RequestId, Timestamp};
 
@@ -7,12 +7,12 @@
 use super::request::{Credential, NotRunReason};
 
 impl Router {
-    /// Until when requests that came with a key may be sent.
+    /// Sets the time until which requests that carry a key may be sent; `None` means no limit.
     pub fn set_keys_until(&mut self, until: Option<Timestamp>) {
         self.keys_until = until;
     }
 
-    /// Ends waiting requests whose key nobody holds any more.
+    /// Ends waiting requests whose key has been revoked.
     pub fn recheck_keys(
         &mut self,
         is_held: impl Fn(&Credential) -> bool,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes a waiting request out of its line.
+    /// Removes a waiting request from its target's queue.
     fn take_from_line(&mut self, request: RequestId) {
         let Some(pending) = self.pending.get(&request) else {
             return;
--- a/shalehinge/src/core/router/leaving.rs
+++ b/shalehinge/src/core/router/leaving.rs
@@ -1,4 +1,4 @@
-//! Whether one upstream said that it is leaving.
+//! Tracks whether an upstream has announced that it is leaving.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use super::request::UpstreamId;
 
-/// How long an upstream counts as leaving whose restart would not be seen.
+/// How long an upstream whose restart cannot be detected counts as leaving.
 const COUNTS_FOR: Duration = Duration::from_secs(60);
 
-/// What an upstream said in this life of it.
+/// What an upstream announced since it started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeavingState {
     said_at: Option<Timestamp>,
@@ -18,8 +18,8 @@
 }
 
 impl LeavingState {
-    /// Whether the upstream with this name is leaving: to the end of its life, which the host
-    /// list or the number of its group shows, or for a while where nothing does.
+    /// Whether the upstream is leaving. This lasts until it restarts, which the host list or its
+    /// group number shows, or for [`COUNTS_FOR`] where nothing shows a restart.
     pub fn is_leaving(&self, now: Timestamp, id: &UpstreamId) -> bool {
         match id {
             UpstreamId::Replica(_) | UpstreamId::Host(..) => self.said_at.is_some(),
@@ -27,8 +27,8 @@
         }
     }
 
-    /// An answer came with this mark; true if that changes anything. An answer without the mark ends
-    /// nothing: it may be from before the upstream began to leave.
+    /// Handles the mark of an answer; returns whether it changes anything. An answer without the
+    /// mark does not end the state, as it may date from before the upstream began to leave.
     pub fn on_marked(&mut self, now: Timestamp, mark: &LeavingMark) -> bool {
         match mark {
             LeavingMark::Absent => false,
--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -1,7 +1,8 @@
-//! Upstreams in need, which name how many requests they take from all daemons together.
+//! Overloaded upstreams that name a limit on the requests they accept from all daemons together.
 //!
-//! A request goes to one of them only with a permit of the limit's owner. Permits are asked for
-//! ahead, while other upstreams serve, and at once for what waits.
+//! A request is sent to such an upstream only with a permit of the limit's owner. Permits are
+//! requested in advance while other upstreams serve, and immediately if requests are waiting for
+//! them.
 
 use std::time::Duration;
 
@@ -17,13 +18,13 @@
 use super::upstream::Upstream;
 
 impl Router {
-    /// Upstreams with a limit in force, for status pages.
+    /// Upstreams with a limit in force, and the limit.
     pub fn limited_upstreams(&self) -> impl Iterator<Item = (&UpstreamId, RequestRate)> {
         self.upstreams()
             .filter_map(|upstream| Some((&upstream.spec.id, upstream.limit.rate()?)))
     }
 
-    /// Another daemon tells of a limit, as of `told_at`.
+    /// Applies a limit reported by another daemon at `told_at`.
     pub fn learn_limit(
         &mut self,
         now: Timestamp,
@@ -46,7 +47,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Permits came that were asked for.
+    /// Handles permits granted by a limit's owner.
     pub fn on_permits(
         &mut self,
         now: Timestamp,
@@ -63,7 +64,8 @@
 }
 
 impl Upstream {
-    /// An answer came to a request that was sent at `sent_at`.
+    /// Handles the limit in the answer to a request sent at `sent_at`. Only a successful answer
+    /// without a limit shows that there is none.
     pub(super) fn on_limit_named(
         &mut self,
         now: Timestamp,
@@ -85,7 +87,7 @@
 }
 
 impl TargetState {
-    /// Asks for permits of an upstream, unless it was asked lately.
+    /// Requests permits for an upstream, unless they were requested recently.
     pub(super) fn ask_permits(
         &mut self,
         now: Timestamp,
@@ -98,8 +100,8 @@
         Some(RouterAction::AskPermits { known, wanted })
     }
 
-    /// Asks for permits where requests wait that no upstream without a limit can take: of as
-    /// many upstreams as requests wait.
+    /// Requests permits while queued requests cannot be sent to upstreams without a limit.
+    /// Permits are requested for at most as many upstreams as there are queued requests.
     pub(super) fn ask_permits_for_all(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let is_limited = |u: &Upstream| u.limit.rate().is_some() && u.is_eligible(now);
         let limited: Vec<usize> = (0..self.upstreams.len())
@@ -116,8 +118,8 @@
         out.extend(asked.take(most));
     }
 
-    /// The least time until all that wait and one more are sent, where every upstream has a
-    /// limit: this daemon may get all permits, but not more.
+    /// Lower bound of the time until all queued requests and one more are sent, if every upstream
+    /// has a limit: this daemon gets at most all permits. Zero if any upstream has no limit.
     pub(super) fn least_wait(&self, now: Timestamp) -> Duration {
         let mut rate = 0.0;
         let mut at_start = 0.0;
@@ -149,14 +151,18 @@
 fn limit_line(upstream: &UpstreamId, change: &LimitChange) -> RouterAction {
     RouterAction::Log(match change {
         LimitChange::Begins(rate) => {
-            format!("{upstream} names a limit of {rate} requests a second from all daemons")
+            format!(
+                "{upstream} names a limit of {rate} requests per second for all daemons together"
+            )
         }
         LimitChange::Changes(rate) => {
-            format!("{upstream} changes its limit to {rate} requests a second from all daemons")
+            format!(
+                "{upstream} changes its limit to {rate} requests per second for all daemons together"
+            )
         }
         LimitChange::Ends => format!("{upstream} names no limit any more"),
         LimitChange::Unreadable(text) => {
-            format!("{upstream} names a limit that can't be read, none is made of it: {text:?}")
+            format!("{upstream} names an invalid limit, which is ignored: {text:?}")
         }
     })
 }
--- a/shalehinge/src/core/router/mod.rs
+++ b/shalehinge/src/core/router/mod.rs
@@ -1,30 +1,30 @@
-//! Routing: which request goes where and when, and what became of it.
+//! Routing: decides which upstream runs each request, and when, and determines its outcome.
 //!
-//! - `request`: requests, attempts and outcomes as values
-//! - `queue`: fair queue between customers
-//! - `wait_queue`: requests that can still be on time, and late ones
-//! - `estimate`: drain rate, and refusal of what would be late
-//! - `upstream`: one upstream: evidence, room, speed
-//! - `topology`: which upstreams this daemon considers
-//! - `prefix`: which replica holds the start of a prompt
-//! - `capacity`: whether upstreams are missing
-//! - `availability`: whether and when an upstream may get a request
+//! - `request`: data types for requests, attempts and outcomes
+//! - `queue`: queue that is fair between customers
+//! - `wait_queue`: the queue of a target, in which late requests go last
+//! - `estimate`: estimates of queueing time and latency
+//! - `upstream`: state of one upstream: evidence, available room and speed
+//! - `topology`: selection of the upstreams that this daemon considers
+//! - `prefix`: hints about which prompt prefixes an upstream's cache holds
+//! - `capacity`: detection of missing upstreams
+//! - `availability`: whether and when an upstream can accept a request
 //! - `cooldown`, `leaving`, `signals`: what upstreams state about themselves
-//! - `choose`: choice of an upstream for a request
+//! - `choose`: selection of an upstream for a request
 //! - `outlier`: ejection of upstreams that fail or are slow
-//! - `failing`: requests that fail wherever they run
-//! - `named`, `limits`: upstreams in need, which name how many requests they take
-//! - `refusal`: requests that are refused before they are sent
-//! - `retry_budget`: how many retries are allowed
-//! - `keys`: keys of relayed requests, and how long they count
-//! - `quarantine`: requests that crash the upstreams that run them
-//! - `suspects`: what the router learns of such requests, and tells of them
-//! - `trying`: trials of these
-//! - `reports`: what upstreams report
-//! - `expiry`: deadlines that pass, and room that is there again
-//! - `stalled`: replicas that stand still
-//! - `target`: one model or service: its upstreams and its waiting line
-//! - `dispatch`: the state machine that joins them
+//! - `failing`: detection of requests that fail on every upstream
+//! - `named`, `limits`: limits that overloaded upstreams name, and permits to send to them
+//! - `refusal`: refusal of requests before they are sent
+//! - `retry_budget`: limit on the number of retries
+//! - `keys`: validity of API keys of relayed requests
+//! - `quarantine`: quarantine of requests that crash upstreams
+//! - `suspects`: evidence of such requests, and its exchange with other daemons
+//! - `trying`: trials of suspected requests
+//! - `reports`: load reports from upstreams
+//! - `expiry`: expired deadlines and other periodic work
+//! - `stalled`: detection of stalled replicas
+//! - `target`: state of one model or service: its upstreams and its queue
+//! - `dispatch`: the state machine that combines all of these
 
 pub mod availability;
 pub mod capacity;
--- a/shalehinge/src/core/router/named.rs
+++ b/shalehinge/src/core/router/named.rs
@@ -1,4 +1,5 @@
-//! The limit of one upstream as a daemon knows it, and the daemon's permits to send there.
+//! The limit of one upstream as known to this daemon, and the permits that the daemon holds for
+//! it.
 
 use std::time::Duration;
 
@@ -6,44 +7,45 @@
 use crate::core::permits::PERMIT_TIME;
 use crate::core::types::Timestamp;
 
-/// A limit that differs by less from the one in the last log line makes no other line.
+/// Relative change of a limit, since the last logged value, below which nothing is logged.
 const LOGGED_CHANGE: f64 = 0.1;
-/// Longest pause between two questions for permits while other upstreams serve.
+/// Longest interval between two permit requests while other upstreams can serve.
 const MOST_PAUSE: Duration = Duration::from_secs(8);
-/// Most permits that are asked for at once.
+/// Maximum number of permits per request.
 const MOST_WANTED: u32 = 64;
 
 /// How a limit changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitChange {
-    /// There was none.
+    /// A limit applies where there was none.
     Begins(RequestRate),
-    /// There was another one.
+    /// The limit has a new value.
     Changes(RequestRate),
-    /// There is none any more.
+    /// There is no limit any more.
     Ends,
-    /// The upstream says something that is no limit; what was in force stays.
+    /// The upstream named something that is not a valid limit; holds its text. The previous limit
+    /// stays in force.
     Unreadable(String),
 }
 
-/// Whether requests wait that no other upstream can take.
+/// Whether requests are waiting that no other upstream can take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// They wait.
+    /// Requests are waiting.
     Waited,
-    /// Other upstreams take what comes.
+    /// Other upstreams can take all requests.
     Spare,
 }
 
-/// Permits to send that are left, and what was asked of the limit's owner.
+/// Permits held, and the state of requests for more.
 #[derive(Clone, Copy, Debug)]
 struct Permits {
     left: u32,
     until: Timestamp,
     asked_at: Option<Timestamp>,
-    /// Pause after the last question, which grows while nothing comes.
+    /// Interval after the last permit request, doubled while none are granted.
     pause: Duration,
-    /// So many are asked for: more while all are used, fewer while some lapse.
+    /// Number of permits to request: increased when all were used, reduced when some expired.
     wanted: u32,
 }
 
@@ -63,7 +65,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct LimitState {
     rate: Option<RequestRate>,
-    /// The time that the last answer spoke of which counted, here or at another daemon.
+    /// The time to which the latest known state of the limit refers, learned here or by another
+    /// daemon.
     as_of: Timestamp,
     logged: Option<RequestRate>,
     is_unreadable: bool,
@@ -71,17 +74,18 @@
 }
 
 impl LimitState {
-    /// The limit in force.
+    /// The limit in force, if any.
     pub fn rate(&self) -> Option<RequestRate> {
         self.rate
     }
 
-    /// The time of which the limit, or that there is none, is known.
+    /// The time to which the known state (a limit, or none) refers.
     pub fn as_of(&self) -> Timestamp {
         self.as_of
     }
 
-    /// An answer came to a request that was sent at `sent_at`. Returns what is worth a log line.
+    /// Handles the limit in the answer to a request sent at `sent_at`. Returns a change to be
+    /// logged.
     pub fn hear(
         &mut self,
         now: Timestamp,
@@ -91,7 +95,7 @@
         let was_unreadable = std::mem::replace(&mut self.is_unreadable, false);
         match limit {
             NamedLimit::Rate(rate) => self.set(now, Some(rate)),
-            // Answers overtake one another: this one may be from before the limit was named.
+            // Answers may arrive out of order: this one may date from before the limit was named.
             NamedLimit::None => self.set(sent_at, None),
             NamedLimit::Unreadable(text) => {
                 self.is_unreadable = true;
@@ -100,7 +104,8 @@
         }
     }
 
-    /// Takes in what is known as of then; what is known of later stays.
+    /// Applies what is known as of this time, unless something newer is known. Returns a change
+    /// to be logged.
     pub fn set(&mut self, as_of: Timestamp, rate: Option<RequestRate>) -> Option<LimitChange> {
         if as_of < self.as_of {
             return None;
@@ -132,7 +137,7 @@
         self.rate.is_none() || (self.permits.left > 0 && now < self.permits.until)
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn on_sent(&mut self) {
         if self.rate.is_none() {
             return;
@@ -144,7 +149,7 @@
         }
     }
 
-    /// How many permits should be asked for now, if any; notes that they were.
+    /// Returns how many permits to request now, if any, and records the request.
     pub fn permits_wanted(&mut self, now: Timestamp, urgency: Urgency) -> Option<u32> {
         if self.may_send(now) {
             return None;
@@ -162,14 +167,15 @@
             permits.wanted = (permits.wanted / 2).max(1);
         }
         if permits.asked_at.is_some() {
-            // Nothing came: others ask for more than there is.
+            // The last request was not granted: demand exceeds the limit.
             permits.pause = (permits.pause * 2).min(MOST_PAUSE);
         }
         permits.asked_at = Some(now);
         Some(permits.wanted)
     }
 
-    /// Permits came. Any that are left from before lapse: they count from when they were made.
+    /// Handles granted permits. Permits left from an earlier grant expire, as they are valid only
+    /// from when they were issued.
     pub fn on_granted(&mut self, now: Timestamp, count: u32) {
         let permits = &mut self.permits;
         permits.left = count;
@@ -178,7 +184,7 @@
         permits.pause = PERMIT_TIME;
     }
 
-    /// Whether permits were asked for lately and did not come yet.
+    /// Whether a recent permit request is still unanswered.
     pub fn awaits_permits(&self, now: Timestamp) -> bool {
         let asked_at = self.permits.asked_at;
         asked_at.is_some_and(|at| now.since(at) < PERMIT_TIME)
--- a/shalehinge/src/core/router/outlier.rs
+++ b/shalehinge/src/core/router/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of upstreams that fail or are slow, with probation.
+//! Ejection of upstreams that fail or are slow, followed by probation.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 /// Longest ejection.
 const MOST: Duration = Duration::from_secs(60);
 
-/// Whether one upstream is trusted.
+/// Ejection state of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierState {
     failures_in_a_row: u32,
@@ -18,35 +18,36 @@
 }
 
 impl OutlierState {
-    /// Out of use at this time.
+    /// Whether the upstream is ejected at this time.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         self.ejected_until(now).is_some()
     }
 
-    /// Until when it is out of use, if it is so now.
+    /// When the current ejection ends; `None` if the upstream is not ejected.
     pub fn ejected_until(&self, now: Timestamp) -> Option<Timestamp> {
         self.ejected_until.filter(|until| now < *until)
     }
 
-    /// Back in use, with one request at a time until one succeeds.
+    /// Whether the upstream is on probation: after an ejection it gets one request at a time
+    /// until one succeeds.
     pub fn is_on_probation(&self) -> bool {
         self.on_probation
     }
 
-    /// An attempt succeeded.
+    /// Records a successful attempt.
     pub fn on_success(&mut self) {
         self.failures_in_a_row = 0;
         self.on_probation = false;
         self.ejections = self.ejections.saturating_sub(1);
     }
 
-    /// An attempt failed; true if the upstream should now be ejected.
+    /// Records a failed attempt; returns whether the upstream should now be ejected.
     pub fn on_failure(&mut self, settings: &RouterSettings) -> bool {
         self.failures_in_a_row += 1;
         self.on_probation || self.failures_in_a_row >= settings.eject_after
     }
 
-    /// Ejects it, for longer each time.
+    /// Ejects the upstream, for twice as long each time, up to [`MOST`].
     pub fn eject(&mut self, now: Timestamp, settings: &RouterSettings) {
         let doublings = self.ejections.min(8);
         let time = settings.eject_for * 2u32.pow(doublings);
--- a/shalehinge/src/core/router/prefix.rs
+++ b/shalehinge/src/core/router/prefix.rs
@@ -1,7 +1,7 @@
-//! Which upstream holds the start of a prompt in its cache: hints, never truth.
+//! Hints about which prompt prefixes an upstream's cache holds. They may be wrong.
 //!
-//! Filled by what this daemon sent there. Bounded: the oldest half is
-//! forgotten when it is full.
+//! They are derived from the requests that this daemon sent there. Memory is bounded: when the
+//! set is full, the older half is discarded.
 
 use std::collections::HashSet;
 use std::hash::Hasher;
@@ -10,16 +10,16 @@
 
 use super::request::PrefixChain;
 
-/// Bytes of a prompt that one hash covers; about 64 tokens of 4 bytes.
+/// Bytes of a prompt covered by one hash; about 64 tokens of 4 bytes.
 pub const BLOCK_BYTES: usize = 256;
-/// Tokens in a block, for estimates.
+/// Estimated number of tokens in a block.
 pub const BLOCK_TOKENS: u32 = 64;
-/// Blocks that a chain has at the most.
+/// Maximum number of blocks in a chain.
 pub const MAX_BLOCKS: usize = 64;
-/// Hashes kept for one upstream.
+/// Maximum number of hashes kept per upstream.
 const CAPACITY: usize = 4_096;
 
-/// Hashes the growing starts of a prompt.
+/// Hashes each prefix of the prompt that consists of whole blocks, up to [`MAX_BLOCKS`].
 pub fn chain_of(prompt: &[u8]) -> PrefixChain {
     let mut hasher = SipHasher13::new();
     prompt
@@ -32,16 +32,16 @@
         .collect()
 }
 
-/// What one upstream probably holds.
+/// Prefixes that an upstream's cache probably holds.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
-    // Looked up by key only, never iterated in an order that matters.
+    // Used for lookups only, never iterated where order matters.
     newer: HashSet<u64>,
     older: HashSet<u64>,
 }
 
 impl PrefixHints {
-    /// The upstream was sent this prompt.
+    /// Records that the upstream was sent this prompt.
     pub fn record(&mut self, chain: &PrefixChain) {
         for hash in chain {
             self.newer.insert(*hash);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Blocks of the prompt that it probably holds.
+    /// Number of leading prompt blocks that the upstream's cache probably holds.
     pub fn matching_blocks(&self, chain: &PrefixChain) -> usize {
         chain
             .iter()
@@ -59,7 +59,7 @@
             .count()
     }
 
-    /// Forgets all, as after a restart of the upstream.
+    /// Discards all hints, for example when the upstream may have restarted.
     pub fn clear(&mut self) {
         self.newer.clear();
         self.older.clear();
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -1,11 +1,12 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A caller that sends such a request again gives it a new id, mostly at another daemon, so
-//! that limits on the attempts of one request don't hold it. Daemons count lost attempts by
-//! what was asked. Once it was lost at several upstreams and completed at none, it is a suspect,
-//! as are others that ran there: it is tried alone, which clears it or proves that it crashes
-//! upstreams. What is proven is refused and sent to no upstream for a while. This guards against
-//! one caller's request that ends one replica after the other.
+//! A client that sends such a request again uses a new request id, usually at another daemon, so
+//! limits on the attempts per request do not stop it. Daemons therefore count lost attempts by
+//! request fingerprint. Once a request was lost at several upstreams and completed at none, it is
+//! suspected, as are others that ran there at the time. A suspected request is run alone in a
+//! trial, which either clears it or proves that it crashes upstreams. A proven request is refused
+//! for a while and sent to no upstream. This prevents one caller's request from crashing one
+//! replica after another.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,69 +17,71 @@
 
 use super::request::UpstreamId;
 
-/// How long a lost attempt counts. What comes less often does little harm, and the
-/// longer it counts, the likelier are two losses that have nothing to do with each other.
+/// How long a lost attempt counts. Less frequent requests do little harm, and the longer the
+/// period, the more likely it is that two losses are unrelated.
 const LOSS_MEMORY: Duration = Duration::from_secs(300);
-/// Losses of one request at one upstream within this time are one crash, told by several
-/// daemons. Well above the time between the daemons' notice of it (under 0.1 s), and
-/// below the time that a crashed upstream takes to be back (seconds).
+/// Losses of one request at one upstream within this time are treated as one crash reported by
+/// several daemons. It is well above the time within which all daemons notice a crash (under
+/// 100 ms) and below the time that a crashed upstream takes to return (seconds).
 const SAME_CRASH: Duration = Duration::from_secs(1);
-/// Requests with losses that are remembered; a crash adds as many as ran there.
+/// Maximum number of requests with losses to remember; a crash adds every request that was
+/// running there.
 const MOST_RECORDS: usize = 4_096;
-/// Completed requests that are remembered. At a hundred a second it is the last ten seconds,
-/// and what is asked more often than that is always among them.
+/// Maximum number of completed requests to remember. At 100 requests per second this covers the
+/// last ten seconds, and requests repeated more often than that are always included.
 const MOST_COMPLETIONS: usize = 1_024;
 
-/// An attempt that broke off at an upstream, without an answer.
+/// An attempt that was lost at an upstream without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loss {
-    /// What was asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Where it ran, or might have.
+    /// The upstream on which it ran or may have run.
     pub upstream: UpstreamId,
-    /// When it broke off.
+    /// When the attempt was lost.
     pub at: Timestamp,
 }
 
-/// A request that is quarantined.
+/// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quarantined {
-    /// What is asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The first of the losses that decided it.
+    /// When the first of the losses that led to the quarantine occurred.
     pub first_lost_at: Timestamp,
-    /// The last of them.
+    /// When the last of them occurred.
     pub last_lost_at: Timestamp,
-    /// What is known of it.
+    /// How certain it is that the request crashes upstreams.
     pub evidence: Evidence,
 }
 
-/// What names a request that is quarantined.
+/// How certain it is that a quarantined request crashes upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evidence {
-    /// It ran at several upstreams as they crashed, as others may have. A trial tells.
+    /// It was running at several upstreams when they crashed, possibly along with others. A trial
+    /// decides.
     Suspected,
-    /// An upstream crashed while it was tried there alone.
+    /// An upstream crashed while the request ran there in a trial.
     Proven,
 }
 
-/// A request that an upstream answered, so that it crashes not each that runs it.
+/// A request that an upstream answered, so that it does not crash every upstream that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// What was asked.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// When the answer was whole.
+    /// When the complete answer was received.
     pub at: Timestamp,
 }
 
-/// What other daemons should know.
+/// Changes to tell other daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineNews {
-    /// For those who count losses of all daemons.
+    /// Losses, for the daemons that count the losses of all daemons.
     pub losses: Vec<Loss>,
-    /// For all daemons.
+    /// New or extended quarantines, for all daemons.
     pub quarantined: Vec<Quarantined>,
-    /// For all daemons: what is no longer in quarantine, or must not be.
+    /// Completions, for all daemons; each ends or prevents a quarantine.
     pub completions: Vec<Completion>,
 }
 
@@ -91,7 +94,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// Crashes since it last completed, the earliest first.
+    /// Crashes since the request last completed, in order of arrival.
     crashes: Vec<(UpstreamId, Timestamp)>,
     completed_at: Option<Timestamp>,
     quarantined: Option<Quarantined>,
@@ -108,7 +111,7 @@
     }
 }
 
-/// Lost attempts by what was asked, and what is quarantined for them.
+/// Lost attempts by request fingerprint, and the quarantines that result from them.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
@@ -117,7 +120,7 @@
 }
 
 impl Quarantine {
-    /// How long a request is still refused, if it is quarantined.
+    /// How long a request remains quarantined; `None` if it is not.
     pub fn time_left(
         &self,
         now: Timestamp,
@@ -129,14 +132,14 @@
         (now < until).then(|| until.since(now))
     }
 
-    /// Crashes that count against a request.
+    /// Number of crashes that count against a request.
     pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
         self.records
             .get(&fingerprint)
             .map_or(0, |record| record.crashes.len())
     }
 
-    /// All that is quarantined.
+    /// All requests that are quarantined now.
     pub fn all(
         &self,
         now: Timestamp,
@@ -149,7 +152,7 @@
             .filter(move |quarantined| now < quarantined.last_lost_at + time)
     }
 
-    /// An attempt of this daemon broke off. Returns whether that puts it in quarantine.
+    /// Records a lost attempt of this daemon. Returns whether it newly quarantines the request.
     pub fn note_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
         if settings.quarantine_after == 0 {
             return false;
@@ -158,7 +161,8 @@
         self.count(loss, settings)
     }
 
-    /// An attempt of another daemon broke off. Returns whether that puts it in quarantine.
+    /// Applies a lost attempt of another daemon. Returns whether it newly quarantines the
+    /// request.
     pub fn learn_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
         let later = self.completed_since(loss.fingerprint, loss.at);
         if settings.quarantine_after == 0 || later.is_some() {
@@ -206,7 +210,7 @@
         !was_quarantined
     }
 
-    /// An upstream crashed while this request was tried there alone.
+    /// Records that an upstream crashed during the trial of this request.
     pub fn prove(&mut self, loss: &Loss) {
         let record = self.records.entry(loss.fingerprint).or_default();
         let first_lost_at = record
@@ -222,7 +226,7 @@
         self.news.quarantined.push(quarantined);
     }
 
-    /// What is known of a request that is held now.
+    /// The quarantine of a request, if it is in force now.
     pub fn held(
         &self,
         now: Timestamp,
@@ -233,7 +237,7 @@
         self.records.get(&fingerprint)?.quarantined
     }
 
-    /// An upstream gave this daemon a whole answer. Returns whether that ends a quarantine.
+    /// Records a complete answer received by this daemon. Returns whether it ends a quarantine.
     pub fn note_completion(&mut self, completion: Completion) -> bool {
         if self.completions.len() >= MOST_COMPLETIONS {
             self.completions.pop_front();
@@ -246,7 +250,8 @@
         ends
     }
 
-    /// Another daemon had a whole answer. Returns whether that ends a quarantine.
+    /// Applies a complete answer received by another daemon. Returns whether it ends a
+    /// quarantine.
     pub fn learn_completion(&mut self, completion: Completion) -> bool {
         self.clear(completion)
     }
@@ -266,8 +271,9 @@
         ends
     }
 
-    /// Another daemon decided on a quarantine. Returns whether it is new here. Where this
-    /// daemon had a whole answer since the first loss, all are told that instead.
+    /// Applies another daemon's quarantine. Returns whether it is new here or proven for the
+    /// first time. If this daemon received a complete answer since the first loss, it tells all
+    /// daemons of that instead.
     pub fn learn_quarantined(&mut self, quarantined: Quarantined) -> bool {
         let fingerprint = quarantined.fingerprint;
         if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at) {
@@ -286,7 +292,7 @@
         is_news
     }
 
-    /// The last whole answer since then that is known of here.
+    /// The latest complete answer known here, if it arrived at or after `since`.
     fn completed_since(&self, fingerprint: Fingerprint, since: Timestamp) -> Option<Completion> {
         let record = self.records.get(&fingerprint);
         let told = record.and_then(|record| record.completed_at);
@@ -300,7 +306,7 @@
         (at >= since).then_some(Completion { fingerprint, at })
     }
 
-    /// Forgets the request whose losses are the oldest, once there are too many.
+    /// Discards the record with the oldest activity if the maximum number is reached.
     fn make_room(&mut self) {
         if self.records.len() < MOST_RECORDS {
             return;
@@ -311,14 +317,14 @@
         }
     }
 
-    /// Forgets what counts no longer.
+    /// Discards records that have expired.
     pub fn forget_old(&mut self, now: Timestamp, settings: &RouterSettings) {
         let memory = settings.quarantine_for.max(LOSS_MEMORY);
         self.records
             .retain(|_, record| now < record.last_at() + memory);
     }
 
-    /// What other daemons should be told, once.
+    /// Takes the changes to tell other daemons; each is returned once.
     pub fn take_news(&mut self) -> QuarantineNews {
         std::mem::take(&mut self.news)
     }
--- a/shalehinge/src/core/router/queue.rs
+++ b/shalehinge/src/core/router/queue.rs
@@ -1,27 +1,27 @@
-//! The waiting line of one target: fair between customers by share.
+//! The queue of one target, fair between customers by share.
 //!
-//! Start-time fair queueing: each customer has a tag that moves on by cost over
-//! share with each request taken; the lowest tag is next. A customer that was
-//! away starts at the current virtual time, so unused share is lent and is not
-//! saved up. Within a customer the highest priority goes first, then the
-//! earliest deadline.
+//! Implements start-time fair queueing: each customer has a tag that advances by cost over share
+//! with every request dequeued, and the customer with the lowest tag is next. A customer that was
+//! idle starts at the current virtual time, so its unused share goes to others and cannot be
+//! saved up. Within a customer, the highest priority goes first, then the earliest deadline.
 
 use std::collections::BTreeMap;
 
 use crate::core::types::{Customer, RequestId, Timestamp};
 
-/// A waiting request.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Waiting {
     /// The request.
     pub request: RequestId,
     /// Estimated cost in tokens.
     pub cost: f64,
-    /// Higher goes first.
+    /// Higher values go first.
     pub priority: u8,
-    /// Earlier goes first.
+    /// Latest time at which the request is still queued; earlier ones go first.
     pub deadline: Timestamp,
-    /// When it must be sent for its first output to come by its aim, if it has one.
+    /// Latest time to send the request for its first output to arrive within its target time, if
+    /// it has one.
     pub start_by: Option<Timestamp>,
 }
 
@@ -50,7 +50,7 @@
     waiting: BTreeMap<Rank, Waiting>,
 }
 
-/// The waiting line.
+/// A queue that is fair between customers.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     virtual_time: f64,
@@ -59,12 +59,12 @@
 }
 
 impl FairQueue {
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -82,14 +82,14 @@
         self.len += 1;
     }
 
-    /// The next request without taking it.
+    /// Returns the next request without removing it.
     pub fn peek(&self) -> Option<&Waiting> {
         let (_, line) = self.next_line()?;
         line.waiting.values().next()
     }
 
-    /// Takes out the next request if it can no longer be on time, with its customer and
-    /// the customer's share. The customer is not charged for it.
+    /// Removes the next request if it can no longer meet its target time, and returns it with its
+    /// customer and the customer's share. The customer is not charged for it.
     pub fn take_overdue(&mut self, now: Timestamp) -> Option<(Customer, u32, Waiting)> {
         let (customer, line) = self.next_line()?;
         let waiting = line.waiting.values().next()?;
@@ -109,7 +109,7 @@
             .min_by(|a, b| a.1.tag.total_cmp(&b.1.tag))
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<Waiting> {
         let customer = self.next_line()?.0.clone();
         let line = self.lines.get_mut(&customer)?;
@@ -121,7 +121,7 @@
         Some(waiting)
     }
 
-    /// Takes out one request, wherever it stands.
+    /// Removes a request at any position.
     pub fn remove(&mut self, customer: &Customer, request: RequestId) -> Option<Waiting> {
         let line = self.lines.get_mut(customer)?;
         let rank = line
@@ -135,7 +135,8 @@
         Some(waiting)
     }
 
-    /// Takes out the last request of the customer that waits with most above its share.
+    /// Removes the last request of the customer with the highest queued cost relative to its
+    /// share.
     pub fn evict(&mut self) -> Option<Waiting> {
         let line = self
             .lines
@@ -148,7 +149,7 @@
         Some(waiting)
     }
 
-    /// Takes out all requests whose deadline is before `limit`.
+    /// Removes all requests whose deadline is before `limit`.
     pub fn expire(&mut self, limit: Timestamp) -> Vec<RequestId> {
         let mut expired = Vec::new();
         for line in self.lines.values_mut() {
@@ -169,15 +170,15 @@
         expired
     }
 
-    /// Corrects a customer's tag once the true cost of a request is known.
+    /// Corrects a customer's tag once the actual cost of a request, in tokens, is known.
     pub fn correct(&mut self, customer: &Customer, estimated: f64, actual: f64) {
         if let Some(line) = self.lines.get_mut(customer) {
             line.tag += (actual - estimated) / line.share.max(1.0);
         }
     }
 
-    /// Cost that waits before a new request of this customer, and the part of
-    /// the target's capacity that the customer gets while all wait.
+    /// Cost in tokens queued ahead of a new request of this customer, and the fraction of the
+    /// target's capacity that the customer gets while all customers wait.
     pub fn ahead(&self, customer: &Customer, share: u32) -> (f64, f64) {
         let share = f64::from(share.max(1));
         let others: f64 = self
@@ -190,7 +191,8 @@
         (cost, share / (share + others))
     }
 
-    /// Forgets customers that have not waited for long, to bound memory.
+    /// Discards the state of customers without queued requests whose tag is not ahead of the
+    /// virtual time, to bound memory.
     pub fn forget_idle(&mut self) {
         let virtual_time = self.virtual_time;
         self.lines
--- a/shalehinge/src/core/router/refusal.rs
+++ b/shalehinge/src/core/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before they are sent, on arrival and while they wait.
+//! Refusal of requests before they are sent, on arrival and while they wait.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use super::target::Pending;
 use super::trying::TrialState;
 
-/// Longest time to come back that callers are given.
+/// Longest retry-after time given to callers.
 const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Shortest such time, unless the settings ask for less.
+/// Shortest retry-after time, unless the settings specify a shorter one.
 const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Time after a crash until those who ran there are tried: whatever else crashes with it, and is
-/// still to be heard of, has crashed by then.
+/// Time after a crash before the requests that ran there are tried. By then, related crashes have
+/// occurred and been reported.
 const SETTLING: Duration = Duration::from_millis(1_200);
-/// Time after a crash in which a trial waits for upstreams that are missing.
+/// Time after a crash during which a trial waits for missing upstreams to return.
 const MOST_TRIAL_DELAY: Duration = Duration::from_secs(6);
-/// When the caller of a suspected request should come back that got no trial now.
+/// Retry-after time for a suspected request that got no trial.
 pub(super) const SUSPECT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Why a request is refused, and when its caller should come back.
+/// Why a request is refused, and the retry-after time for its caller.
 type Refusal = (NotRunReason, Duration);
 
-/// What decides whether a request that waits is still sent.
+/// Inputs to the decision whether a queued request is still sent.
 pub(super) struct Waiting<'a> {
     pub(super) now: Timestamp,
     pub(super) settings: &'a RouterSettings,
     pub(super) quarantine: &'a Quarantine,
-    /// Until when requests with a key may be sent.
+    /// Time until which requests that carry a key may be sent.
     pub(super) keys_until: Option<Timestamp>,
-    /// Estimated time once it is sent.
+    /// Estimated time from sending the request to its complete answer.
     pub(super) service_time: Duration,
     pub(super) pending: &'a Pending,
 }
 
-/// Why the first of those that wait is refused now, if it is.
+/// Returns the refusal for a queued request that should no longer be sent.
 pub(super) fn waiting_refusal(waiting: &Waiting<'_>) -> Option<Refusal> {
     let &Waiting {
         now,
@@ -65,7 +65,8 @@
     (needs_key && is_out_of_date).then_some((NotRunReason::OutOfDate, settings.retry_after))
 }
 
-/// Why a request that no upstream can take for this wait is refused, if it can't wait so long.
+/// Returns the refusal for a request if no upstream can take it for `wait` and it cannot wait
+/// that long.
 pub(super) fn unavailable_refusal(
     settings: &RouterSettings,
     wait: Duration,
@@ -78,7 +79,7 @@
     })
 }
 
-/// The outcome of a request that is refused.
+/// The outcome of a refused request.
 pub(super) fn refused((reason, retry_after): Refusal) -> Outcome {
     Outcome::NotRun {
         reason,
@@ -86,15 +87,16 @@
     }
 }
 
-/// The time to come back after this wait: not so short that callers return in vain, nor so long
-/// that other upstreams may serve well before.
+/// Limits a retry-after time: long enough that callers do not return in vain, short enough that
+/// they return soon after other upstreams become available.
 fn bounded_retry_after(wait: Duration, settings: &RouterSettings) -> Duration {
     let least = settings.retry_after.min(LEAST_RETRY_AFTER);
     wait.clamp(least, MOST_RETRY_AFTER)
 }
 
-/// When the caller of a request that is held should come back: a suspected one for its trial, one
-/// that is proven as late as is told. `None` if it may be tried now.
+/// Retry-after time for the caller of a quarantined request: until the trial of a suspected
+/// request, or until the quarantine of a proven one ends, up to [`MOST_RETRY_AFTER`]. `None` if
+/// it may be tried now.
 fn retry_after_of(
     now: Timestamp,
     held: &Quarantined,
@@ -108,7 +110,7 @@
 }
 
 impl Router {
-    /// Why a new request would be refused now, if it would.
+    /// Returns the refusal that a new request would receive now, if any.
     pub fn refusal(&self, now: Timestamp, meta: &RequestMeta, share: u32) -> Option<Refusal> {
         let Some(state) = self.targets.get(&meta.target) else {
             return Some((NotRunReason::UnknownTarget, MOST_RETRY_AFTER));
@@ -118,7 +120,8 @@
             if let Some(left) = retry_after_of(now, &held, &self.settings) {
                 return Some((NotRunReason::Quarantined, left));
             }
-            // A trial may end another upstream: it waits until those that ended are back.
+            // A trial may crash another upstream, so it waits until those that crashed have
+            // returned.
             let may_wait = now < held.last_lost_at + MOST_TRIAL_DELAY;
             if may_wait && state.usual.is_short(state.present(now)) {
                 return Some((NotRunReason::Quarantined, SUSPECT_RETRY_AFTER));
@@ -141,7 +144,8 @@
         let has_room = state.queue.is_empty() && state.upstreams.iter().any(|u| u.is_eligible(now));
         let service_time = state.service_time(meta);
         if has_room {
-            // An estimate from bad times must not keep out what could show better.
+            // Accept the request: estimates from a period of overload must not keep out requests
+            // that would correct them.
             return None;
         }
         let longest_wait = time_left
@@ -159,7 +163,7 @@
         Some((NotRunReason::WouldBeLate, retry_after))
     }
 
-    /// When the caller of a request should come back that upstreams turned away.
+    /// Retry-after time for the caller of a request that upstreams refused.
     pub(super) fn retry_after(&self, now: Timestamp, target: &Target) -> Duration {
         let state = self.targets.get(target);
         let unavailable_for = state.and_then(|state| state.unavailable_for(now));
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Refuses a waiting request where too many wait.
+    /// Refuses one queued request if too many are queued.
     pub(super) fn evict_overflow(&mut self, target: &Target, out: &mut Vec<RouterAction>) {
         if self.waiting <= self.settings.max_waiting {
             return;
--- a/shalehinge/src/core/router/reports.rs
+++ b/shalehinge/src/core/router/reports.rs
@@ -1,4 +1,4 @@
-//! What upstreams report, and what the router knows of them for others.
+//! Load reports from upstreams, and what the router tells other components about its upstreams.
 
 use crate::core::engine::EngineStatus;
 use crate::core::types::{ReplicaId, Timestamp};
@@ -8,7 +8,7 @@
 use super::upstream::{Upstream, UpstreamSpec};
 
 impl Router {
-    /// A load report came.
+    /// Handles the answer to a load report request sent at `asked_at`; `None` if it failed.
     pub fn on_report(
         &mut self,
         now: Timestamp,
@@ -36,7 +36,8 @@
         })
     }
 
-    /// Upstreams whose report should be asked for now.
+    /// Returns the upstreams to request a load report from now, and records that it was
+    /// requested.
     pub fn reports_wanted(&mut self, now: Timestamp) -> Vec<UpstreamSpec> {
         let settings = self.settings;
         self.targets
@@ -49,7 +50,7 @@
             .collect()
     }
 
-    /// Replicas that were complete until a short while ago.
+    /// Replicas that were complete until recently.
     pub fn suspects(&self, now: Timestamp) -> Vec<ReplicaId> {
         self.upstreams()
             .filter(|upstream| upstream.is_suspect(now))
@@ -58,7 +59,7 @@
             .collect()
     }
 
-    /// Replicas that brought output, and when they last did.
+    /// Replicas that have produced output, and when they last did.
     pub fn last_outputs(&self) -> impl Iterator<Item = (&ReplicaId, Timestamp)> {
         self.upstreams()
             .filter_map(|upstream| Some((upstream.replica()?, upstream.output_at()?)))
--- a/shalehinge/src/core/router/request.rs
+++ b/shalehinge/src/core/router/request.rs
@@ -1,4 +1,4 @@
-//! Requests, attempts and outcomes as values.
+//! Data types for requests, attempts and outcomes.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     ServiceName, Timestamp,
 };
 
-/// What a request is for.
+/// The destination of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Target {
     /// A model.
@@ -30,51 +30,51 @@
     }
 }
 
-/// Hashes of growing starts of a prompt, one per [`super::prefix::BLOCK_BYTES`].
+/// Hashes of successively longer prompt prefixes, one per [`super::prefix::BLOCK_BYTES`].
 pub type PrefixChain = Vec<u64>;
 
-/// What the core knows of a request; the body stays outside.
+/// What the core knows about a request; it does not see the body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestMeta {
-    /// Who sent it.
+    /// The customer that sent it.
     pub customer: Customer,
-    /// What it asks, the same each time that it comes.
+    /// Fingerprint of its content, identical for every repetition of the request.
     pub fingerprint: Fingerprint,
-    /// What it is for.
+    /// The model or service that it is for.
     pub target: Target,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that the caller wants.
+    /// Maximum number of output tokens that the caller wants.
     pub max_output_tokens: u32,
-    /// When the answer must be whole.
+    /// When the complete answer is due.
     pub deadline: Timestamp,
-    /// How soon its first output should come to be worth its full value, if that is known.
+    /// Time from arrival within which the first output is of full value to the caller, if known.
     pub first_output_within: Option<Duration>,
-    /// 0 is the lowest; passed on to the engine.
+    /// Priority; 0 is the lowest. Passed on to the engine.
     pub priority: u8,
-    /// Hash of customer and key, where the request may run at most once per key.
+    /// Hash of customer and idempotency key, if the request may run at most once per key.
     pub key: Option<KeyHash>,
-    /// Whether running it twice does no harm.
+    /// Whether it is safe to run the request more than once.
     pub repeatable: bool,
-    /// Start of the prompt, hashed.
+    /// Hashes of the prompt's prefixes.
     pub prefix: PrefixChain,
-    /// Upstreams that may run it; as many as the settings say without.
+    /// Maximum number of attempts that may have run; `None` means as many as the settings allow.
     pub max_attempts: Option<u32>,
-    /// Whether another upstream may continue its stream.
+    /// Whether another upstream can continue its stream.
     pub is_resumable: bool,
-    /// SHA-256 of the key that it came with, where that key may be taken away.
+    /// SHA-256 of the API key it was sent with, if that key can be revoked.
     pub credential: Option<Credential>,
 }
 
-/// SHA-256 of a key in hexadecimal.
+/// SHA-256 of an API key, in hexadecimal.
 pub type Credential = std::sync::Arc<str>;
 
-/// Names an upstream.
+/// Identifies an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum UpstreamId {
     /// A replica of a model.
     Replica(ReplicaId),
-    /// An instance of a plain service, by its place in the configuration.
+    /// An instance of a plain service that the configuration lists, by its address.
     Instance(ServiceName, Address),
     /// An instance of a plain service that the host list names.
     Host(ServiceName, HostId),
@@ -90,73 +90,73 @@
     }
 }
 
-/// An order to the shell: send the request to this upstream, once.
+/// An instruction to send a request to an upstream once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// The request.
     pub request: RequestId,
-    /// This try of it.
+    /// Identifies this attempt.
     pub id: AttemptId,
-    /// Which upstream.
+    /// The upstream to send to.
     pub upstream: UpstreamId,
-    /// Where it listens.
+    /// The address of the upstream.
     pub address: Address,
-    /// The group that must answer; others refuse.
+    /// The group that must answer; any other group refuses.
     pub group: Option<GroupNumber>,
-    /// The host that must answer, where the host list names it.
+    /// The host that must answer, if the host list names it.
     pub host: Option<HostId>,
-    /// Not to be sent at or after this time: the process may have been paused
-    /// since, and the evidence that the upstream is complete has run out.
+    /// The attempt must not be sent at or after this time: the process may have been paused
+    /// since, so that the evidence that the upstream is complete has expired.
     pub valid_until: Timestamp,
-    /// Time that remains for the whole answer.
+    /// Time left for the complete answer.
     pub time_left: Duration,
-    /// Priority for the engine.
+    /// Priority passed on to the engine.
     pub priority: u8,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer came, with this attempt's id.
+    /// The complete answer arrived with this attempt's id.
     Completed {
-        /// Tokens of the answer, 0 if not known.
+        /// Number of output tokens; 0 if unknown.
         output_tokens: u32,
     },
     /// Nothing was sent.
     NotSent,
-    /// The upstream said that it did not run it.
+    /// The upstream stated that it did not run the request.
     Refused,
-    /// The upstream answered that it failed.
+    /// The upstream answered with a failure.
     Failed {
         /// HTTP status of the answer.
         status: u16,
     },
-    /// It was sent, and no whole answer came.
+    /// The request was sent, and no complete answer arrived.
     Lost,
-    /// An answer came that was not this attempt's.
+    /// An answer arrived that does not belong to this attempt.
     WrongAnswer,
 }
 
-/// What became of a request.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller has the whole answer.
+    /// The caller has received the complete answer.
     Completed,
-    /// The upstream answered that it failed.
+    /// The upstream answered with a failure.
     Failed {
-        /// HTTP status of the upstream.
+        /// HTTP status of the upstream's answer.
         status: u16,
     },
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun {
-        /// Why.
+        /// Why it did not run.
         reason: NotRunReason,
-        /// When to come back.
+        /// When the caller should retry.
         retry_after: Duration,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why that is not known.
+        /// Why this is unknown.
         reason: UnknownReason,
     },
 }
@@ -164,42 +164,42 @@
 /// Why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// No replica or instance can take it now.
+    /// No replica or instance can take it.
     NoUpstream,
-    /// Every upstream is held back for longer than the request can wait.
+    /// Every upstream is unavailable for longer than the request can wait.
     NoUpstreamInTime,
     /// It could not be answered by its deadline.
     WouldBeLate,
-    /// Too many requests wait.
+    /// Too many requests are queued.
     QueueFull,
-    /// Every upstream that was tried refused.
+    /// Every upstream that was tried refused it.
     Refused,
-    /// No such model or service.
+    /// There is no such model or service.
     UnknownTarget,
-    /// The key could not be claimed, as the platform does not answer.
+    /// Its idempotency key could not be claimed because the platform does not answer.
     ClaimUnavailable,
-    /// The daemon is stopping.
+    /// The daemon is shutting down.
     Stopping,
-    /// The caller left before it was sent.
+    /// The caller left before the request was sent.
     CallerLeft,
-    /// The caller's key was taken away while the request waited.
+    /// The caller's API key was revoked while the request waited.
     KeyTakenAway,
-    /// The configuration may be out of date, so keys can't be trusted.
+    /// The configuration may be out of date, so API keys cannot be trusted.
     OutOfDate,
-    /// The same request crashed the upstreams that ran it.
+    /// The same request crashed, or may have crashed, the upstreams that ran it.
     Quarantined,
 }
 
-/// Why it is not known whether a request ran.
+/// Why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// The upstream went silent or broke off.
+    /// The upstream stopped answering, or its connection broke.
     Lost,
-    /// The upstream answered something else.
+    /// The upstream returned an answer that does not belong to the attempt.
     WrongAnswer,
     /// The deadline passed while it ran.
     DeadlinePassed,
-    /// An earlier request with this key has run, or may have.
+    /// An earlier request with this idempotency key ran or may have run.
     KeyUsed,
     /// The caller left while it ran.
     CallerLeft,
--- a/shalehinge/src/core/router/retry_budget.rs
+++ b/shalehinge/src/core/router/retry_budget.rs
@@ -1,9 +1,9 @@
-//! How many retries are allowed: a part of the first attempts, and a few saved up.
+//! Limits retries to a fraction of the first attempts plus a saved-up burst.
 //!
-//! When many upstreams fail at once, the budget runs out and requests end with
-//! their outcome in place of a storm of retries.
+//! If many upstreams fail at once, the budget is exhausted and requests end with their current
+//! outcome, which prevents a retry storm.
 
-/// The budget of one daemon.
+/// The retry budget of one daemon, as a token bucket.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -12,7 +12,8 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget. `ratio` is the number of retries allowed per first attempt, `burst`
+    /// the maximum number saved up.
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self {
             ratio,
@@ -21,7 +22,8 @@
         }
     }
 
-    /// A budget with little saved up yet: others of the fleet may have spent its part.
+    /// Creates a budget with few retries saved up, as other daemons of the fleet may have used up
+    /// its part of a shared burst.
     pub fn nearly_empty(ratio: f64, burst: f64) -> Self {
         const FIRST: f64 = 3.0;
         Self {
@@ -31,18 +33,18 @@
         }
     }
 
-    /// Changes how many retries may be saved up; what is saved above it is lost.
+    /// Changes the maximum number of saved-up retries; any excess is discarded.
     pub fn set_burst(&mut self, burst: f64) {
         self.burst = burst;
         self.tokens = self.tokens.min(burst);
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes a retry out, if one is left.
+    /// Takes one retry; returns whether one was available.
     pub fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/shalehinge/src/core/router/signals.rs
+++ b/shalehinge/src/core/router/signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams state about themselves, and what the router does with it.
+//! Handles what upstreams state about themselves in their answers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::request::UpstreamId;
 
 impl Router {
-    /// The head of an attempt's answer came.
+    /// Handles the signals in the head of an attempt's answer.
     pub fn on_signal(
         &mut self,
         now: Timestamp,
@@ -41,7 +41,7 @@
         upstream.on_limit_named(now, sent_at, signal, out);
     }
 
-    /// Ends the cooldowns whose time has passed.
+    /// Ends cooldowns whose time has passed.
     pub(super) fn end_cooldowns(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let upstreams = self
             .targets
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Upstreams that asked this daemon for a cooldown, with what is left of it.
+    /// Upstreams in a cooldown requested from this daemon, and the time left.
     pub fn cooling_upstreams(
         &self,
         now: Timestamp,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Upstreams that said that they are leaving.
+    /// Upstreams that announced that they are leaving.
     pub fn leaving_upstreams(&self, now: Timestamp) -> impl Iterator<Item = &UpstreamId> {
         let leaving = self.upstreams().filter(move |u| u.is_leaving(now));
         leaving.map(|upstream| &upstream.spec.id)
@@ -80,12 +80,12 @@
         CooldownChange::Begins(time) => {
             let seconds = time.as_secs_f64();
             format!(
-                "{id} asks for a cooldown of {seconds} s as it turns request {} away",
+                "{id} requests a cooldown of {seconds} s in its refusal of request {}",
                 request.0
             )
         }
         CooldownChange::Unreadable(text) => {
-            format!("{id} asks for a cooldown that can't be read, none is made of it: {text:?}")
+            format!("{id} requests an invalid cooldown, which is ignored: {text:?}")
         }
     })
 }
@@ -93,10 +93,13 @@
 fn leaving_line(id: &UpstreamId, request: RequestId, mark: &LeavingMark) -> RouterAction {
     RouterAction::Log(match mark {
         LeavingMark::Unreadable(text) => {
-            format!("{id} says of its leaving what can't be read, it counts as staying: {text:?}")
+            format!("{id} sends an invalid leaving mark, which is ignored: {text:?}")
         }
         LeavingMark::Absent | LeavingMark::Leaving => {
-            format!("{id} is leaving, by its answer to request {}", request.0)
+            format!(
+                "{id} is leaving, according to its answer to request {}",
+                request.0
+            )
         }
     })
 }
--- a/shalehinge/src/core/router/stalled.rs
+++ b/shalehinge/src/core/router/stalled.rs
@@ -1,4 +1,4 @@
-//! Replicas that stand still: no request there moves any more, as a member was lost.
+//! Stalled replicas: none of their requests makes progress, as a member was lost.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use super::request::{Outcome, UnknownReason, UpstreamId};
 use super::upstream::Evidence;
 
-/// A daemon that was not run for so long can't tell who stood still meanwhile.
+/// Longest interval between ticks after which stalls are still detected. A daemon that was paused
+/// for longer cannot tell which upstreams stalled in the meantime.
 const MOST_TICK_GAP: Duration = Duration::from_millis(300);
 
 impl Router {
-    /// Moves what may be repeated away from replicas that stand still.
+    /// Retries elsewhere what can be retried of the requests on stalled replicas.
     pub(super) fn leave_stalled(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let was_paused = now.since(self.ticked_at) > MOST_TICK_GAP;
         self.ticked_at = now;
@@ -28,13 +29,13 @@
             }
         }
         for id in stalled {
-            out.push(RouterAction::Log(format!("{id} stands still")));
+            out.push(RouterAction::Log(format!("{id} is stalled")));
             self.move_away(now, &id, out);
         }
     }
 
-    /// A replica surely lost a member: it gets nothing more, and what may be repeated
-    /// moves away at once.
+    /// Handles the definite loss of a replica's member: the replica receives no further requests,
+    /// and what can be retried of its requests is retried elsewhere immediately.
     pub fn lose(
         &mut self,
         now: Timestamp,
@@ -50,7 +51,7 @@
         let Some(upstream) = upstreams.find(|upstream| upstream.spec.id == id) else {
             return;
         };
-        // Where engines report, their reports decide who may be sent requests.
+        // Where engines report, their reports decide which upstreams receive requests.
         if upstream.is_lost() || upstream.spec.evidence == Evidence::Reports {
             return;
         }
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -1,4 +1,4 @@
-//! What the router learns of requests that may crash their upstreams, and tells of them.
+//! Collects evidence of requests that crash their upstreams, and exchanges it with other daemons.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use super::quarantine::{Completion, Evidence, Loss, QuarantineNews, Quarantined};
 use super::request::{AttemptEnd, Outcome, Target, UpstreamId};
 
-/// Attempts that broke off at an upstream, until it is known whether it crashed.
+/// Attempts that were lost at an upstream, until it is known whether the upstream crashed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Unexplained {
     losses: Vec<Loss>,
-    /// Requests that are tried again, or not, once it is known.
+    /// Requests to retry or answer once it is known.
     waiting: Vec<(RequestId, Outcome)>,
 }
 
-/// What a request asked, and of what.
+/// The content and target of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Asked {
     pub(super) fingerprint: Fingerprint,
@@ -25,18 +25,18 @@
 }
 
 impl Router {
-    /// How long a request is still refused, if it is quarantined.
+    /// How long a request remains quarantined; `None` if it is not.
     pub fn quarantined_for(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
         self.quarantine.time_left(now, fingerprint, &self.settings)
     }
 
-    /// All requests that are quarantined.
+    /// All requests that are quarantined now.
     pub fn quarantined(&self, now: Timestamp) -> impl Iterator<Item = Quarantined> {
         self.quarantine.all(now, &self.settings)
     }
 
-    /// Learns from the end of an attempt. One that was refused or not sent shows nothing, and
-    /// one that stood still shows a lost member rather than a crash.
+    /// Collects evidence from the end of an attempt. An attempt that was refused or not sent
+    /// shows nothing, and a stalled one indicates a lost member rather than a crash.
     pub(super) fn learn_from(
         &mut self,
         now: Timestamp,
@@ -50,7 +50,7 @@
         match end {
             AttemptEnd::Lost => {
                 out.push(RouterAction::Log(format!(
-                    "request {} broke off at {upstream}, asks {fingerprint}",
+                    "request {} was lost at {upstream}, asks {fingerprint}",
                     request.0
                 )));
                 let loss = Loss {
@@ -73,9 +73,9 @@
         }
     }
 
-    /// A broken connection alone is no crash: an upstream that is still there may have cut
-    /// one answer short, and a request that is sent again and again to such an upstream crashes
-    /// none.
+    /// Requests a check of the upstream after a loss. A broken connection alone does not show a
+    /// crash: an upstream that is still running may have cut one answer short, and a request
+    /// repeated to such an upstream crashes none.
     fn look_for(&mut self, target: &Target, loss: Loss, out: &mut Vec<RouterAction>) {
         if self.settings.quarantine_after == 0 {
             return;
@@ -84,7 +84,7 @@
         let unexplained = self.unexplained.entry(upstream.clone()).or_default();
         unexplained.losses.push(loss);
         if unexplained.losses.len() > 1 {
-            // Its answer tells for all that broke off meanwhile.
+            // The check already under way covers all attempts lost in the meantime.
             return;
         }
         let state = self.targets.get_mut(target);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether a request may be in quarantine once it is known what became of the upstream.
+    /// Whether the request would be quarantined if the check of the upstream shows a crash.
     pub(super) fn awaits_check(&self, asked: &Asked, upstream: &UpstreamId) -> bool {
         let Some(unexplained) = self.unexplained.get(upstream) else {
             return false;
@@ -112,7 +112,7 @@
         is_there && crashes >= self.settings.quarantine_after as usize
     }
 
-    /// Holds back what becomes of a request until the upstream was looked for.
+    /// Holds back the outcome of a request until the upstream has been checked.
     pub(super) fn wait_for_check(
         &mut self,
         upstream: &UpstreamId,
@@ -123,12 +123,13 @@
             unexplained.waiting.push((request, outcome));
         }
         if let Some(pending) = self.pending.get_mut(&request) {
-            // Its caller may leave, or its key be taken away, before the look has ended.
+            // The caller may leave, or its key may be revoked, before the check ends.
             pending.earlier = Some(outcome);
         }
     }
 
-    /// It was looked whether an upstream is still there after attempts broke off.
+    /// Handles the result of a check whether an upstream is still running after attempts were
+    /// lost.
     pub fn on_upstream_checked(
         &mut self,
         now: Timestamp,
@@ -154,12 +155,13 @@
         out: &mut Vec<RouterAction>,
     ) {
         out.push(RouterAction::Log(format!(
-            "{upstream} crashed while it ran {} requests of this daemon",
+            "{upstream} crashed while running {} requests of this daemon",
             losses.len()
         )));
         let tried = losses.iter().find(|loss| self.was_tried(loss)).cloned();
         if let Some(loss) = tried {
-            // It explains the crash: what ran beside it is not counted.
+            // The request on trial explains the crash, so the requests that ran beside it are not
+            // counted.
             self.quarantine.prove(&loss);
             out.push(proven(loss.fingerprint));
             return;
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Takes in what another daemon tells.
+    /// Applies quarantine changes of another daemon.
     pub fn learn_quarantine(&mut self, news: QuarantineNews, out: &mut Vec<RouterAction>) {
         for completion in news.completions {
             if self.quarantine.learn_completion(completion) {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// What other daemons should be told, once.
+    /// Takes the quarantine changes to tell other daemons; each is returned once.
     pub fn take_quarantine_news(&mut self, now: Timestamp) -> QuarantineNews {
         self.quarantine.forget_old(now, &self.settings);
         self.quarantine.take_news()
@@ -204,18 +206,18 @@
 
 fn proven(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "quarantines what asks {fingerprint}: an upstream crashed while it was tried there alone"
+        "quarantines any request that asks {fingerprint}: an upstream crashed during its trial"
     ))
 }
 
 fn quarantined(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "suspects what asks {fingerprint}: several upstreams crashed while they ran it, and none completed it; it is tried alone next"
+        "suspects any request that asks {fingerprint}: several upstreams crashed while running it and none completed it; it will be run alone in a trial"
     ))
 }
 
 fn no_longer_quarantined(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "what asks {fingerprint} is no longer quarantined or suspected: an upstream answered it"
+        "any request that asks {fingerprint} is no longer quarantined or suspected: an upstream answered it"
     ))
 }
--- a/shalehinge/src/core/router/target.rs
+++ b/shalehinge/src/core/router/target.rs
@@ -1,4 +1,4 @@
-//! One target: its upstreams, its waiting line, and what is learned of it.
+//! State of one target: its upstreams, its queue and what was learned from its requests.
 
 use std::time::Duration;
 
@@ -16,23 +16,23 @@
 use super::upstream::{Upstream, Work};
 use super::wait_queue::WaitQueue;
 
-/// Output expected of a request before any was seen, as a part of what it asks for.
+/// Expected output of a request before any was measured, as a fraction of its maximum.
 const FIRST_OUTPUT_PART: f64 = 0.5;
 /// HTTP statuses from here on are the upstream's fault.
 pub(super) const FIRST_SERVER_ERROR: u16 = 500;
 
-/// A request between submission and answer.
+/// A request that has been submitted and not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
     pub(super) meta: RequestMeta,
     pub(super) came_at: Timestamp,
     pub(super) attempts: u32,
-    /// Attempts that may have run.
+    /// Number of attempts that may have run.
     pub(super) runs: u32,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) running: Option<Running>,
     pub(super) seen_output: bool,
-    /// What an earlier attempt came to that may have run.
+    /// Outcome of an earlier attempt that may have run.
     pub(super) earlier: Option<Outcome>,
     pub(super) cost: f64,
     pub(super) share: u32,
@@ -40,8 +40,8 @@
 }
 
 impl Pending {
-    /// The request's outcome, if its last attempt came to this: what may have
-    /// run once can't be said not to have run.
+    /// The request's outcome if its last attempt ended in this way. A request that may have run
+    /// in an earlier attempt cannot be reported as not run.
     pub(super) fn outcome(&self, last: Outcome) -> Outcome {
         match last {
             Outcome::NotRun { .. } => self.earlier.unwrap_or(last),
@@ -50,7 +50,7 @@
     }
 }
 
-/// The attempt that runs.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
     pub(super) id: AttemptId,
@@ -60,14 +60,14 @@
     pub(super) work: Work,
 }
 
-/// What is kept for one target.
+/// State of one target.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetState {
     pub(super) upstreams: Vec<Upstream>,
     pub(super) queue: WaitQueue,
     pub(super) drain: DrainRate,
     pub(super) first_token: SmoothedDuration,
-    /// Time to the first token where nothing has to wait for it.
+    /// Time to first token of a request that does not have to wait.
     pub(super) fastest_first: LowerEnvelope,
     pub(super) token_interval: SmoothedDuration,
     pub(super) output_part: Option<f64>,
@@ -77,7 +77,8 @@
 }
 
 impl TargetState {
-    /// Upstreams that are there, also those that get nothing new for a while.
+    /// Number of upstreams that are present, including those that get no new requests at the
+    /// moment.
     pub(super) fn present(&self, now: Timestamp) -> usize {
         let present = self.upstreams.iter().filter(|u| u.is_present(now));
         present.count()
@@ -95,8 +96,8 @@
             .push(&pending.meta.customer, pending.share, waiting);
     }
 
-    /// When a request must be sent to be on time. One that was sent before goes on
-    /// without delay, as part of it may have run.
+    /// Latest time to send a request so that it meets its target time. A request that was sent
+    /// before has none and is not demoted, as part of it may have run.
     fn start_by(&self, pending: &Pending) -> Option<Timestamp> {
         let aim = pending.meta.first_output_within?;
         let fastest = self.fastest_first.get()?;
@@ -108,19 +109,19 @@
         f64::from(meta.max_output_tokens) * self.output_part.unwrap_or(FIRST_OUTPUT_PART)
     }
 
-    /// Estimated tokens that a request costs, prompt held nowhere.
+    /// Estimated cost of a request in tokens if its prompt is not cached.
     pub(super) fn cost_of(&self, meta: &RequestMeta) -> f64 {
         f64::from(meta.prompt_tokens) + self.expected_output(meta) + 1.0
     }
 
-    /// Estimated time of a request once it is sent.
+    /// Estimated time from sending a request to its complete answer.
     pub(super) fn service_time(&self, meta: &RequestMeta) -> Duration {
         let first = self.first_token.get().unwrap_or_default();
         let interval = self.token_interval.get().unwrap_or_default();
         first + interval.mul_f64(self.expected_output(meta))
     }
 
-    /// Estimated wait of a new request of this customer.
+    /// Estimated queueing time of a new request of this customer.
     pub(super) fn wait_of(&self, customer: &Customer, share: u32, cost: f64) -> Duration {
         if self.queue.is_empty() {
             return Duration::ZERO;
@@ -156,12 +157,12 @@
         if self.upstreams.iter().any(may_be_untried) {
             return selection;
         }
-        // With every upstream tried, one may be tried again.
+        // All available upstreams have been tried, so allow trying one again.
         let tried = &[];
         choose(&self.upstreams, &ChoiceContext { tried, ..context }, rng)
     }
 
-    /// A trial goes to its upstream alone: at another one it may run beside another trial.
+    /// A trial runs on its assigned upstream only: elsewhere it might run beside another trial.
     fn trial_choice(&self, now: Timestamp, id: &UpstreamId) -> Selection {
         let is_trial_upstream = |u: &Upstream| u.spec.id == *id && u.may_be_sent(now);
         let index = self.upstreams.iter().position(is_trial_upstream);
@@ -224,14 +225,15 @@
         self.upstreams.iter_mut().find(|u| u.spec.id == *id)
     }
 
-    /// Frees what an attempt held.
+    /// Releases the resources held by an attempt.
     pub(super) fn release(&mut self, running: &Running) {
         if let Some(upstream) = self.upstream_mut(&running.upstream) {
             upstream.on_ended(running.sent_at, running.work, running.first_at.is_some());
         }
     }
 
-    /// Learns from the end of an attempt. Returns what a failure shows, if it was one.
+    /// Updates the state from the end of an attempt. If the upstream returned a failure, returns
+    /// what it is attributed to.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
@@ -259,7 +261,7 @@
                     upstream.contradict(now);
                 }
             }
-            // The caller's mistake, not the upstream's.
+            // An error of the caller, not of the upstream.
             AttemptEnd::Failed { status } if status < FIRST_SERVER_ERROR => {}
             AttemptEnd::Failed { .. } => {
                 let upstream = &running.upstream;
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Counts a failure, and ejects the upstream if it is due and others remain.
+    /// Records a failure of an upstream, and ejects it if that is due and enough others remain.
     pub(super) fn blame(&mut self, now: Timestamp, settings: &RouterSettings, id: &UpstreamId) {
         let may_eject = self.may_eject(now, settings);
         let Some(upstream) = self.upstream_mut(id) else {
--- a/shalehinge/src/core/router/topology.rs
+++ b/shalehinge/src/core/router/topology.rs
@@ -1,8 +1,8 @@
-//! Which upstreams a daemon considers, from the objects in force.
+//! Selects the upstreams that a daemon considers, based on the objects in force.
 //!
-//! A daemon looks at a bounded subset of a model's replicas, chosen by
-//! rendezvous hash: mostly of its own failure domain, some of the others. So
-//! its reports and memory stay bounded however large the fleet becomes.
+//! A daemon considers a bounded subset of a model's replicas, chosen by rendezvous hashing:
+//! mostly from its own failure domain, some from others. This bounds its reports and memory
+//! regardless of the size of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -15,10 +15,10 @@
 use super::request::{Target, UpstreamId};
 use super::upstream::{Evidence, UpstreamSpec};
 
-/// The considered upstreams of each target.
+/// The considered upstreams by target.
 pub type Topology = BTreeMap<Target, Vec<UpstreamSpec>>;
 
-/// Builds the topology of one daemon.
+/// Builds the topology of the daemon `me` in this failure domain.
 pub fn build(
     state: &FleetState,
     me: &DaemonId,
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Replicas whose rank 0 tells the host list that it takes requests.
+/// Replicas whose rank 0 states in the host list that it accepts requests.
 fn listed_replicas(
     state: &FleetState,
     domain: &FailureDomain,
@@ -156,7 +156,8 @@
     replicas
 }
 
-/// Forming groups are considered too: evidence decides when they serve.
+/// Whether a group may get new work. Forming groups are included: evidence decides when they
+/// serve.
 fn accepts_new(state: &FleetState, group: &Group) -> bool {
     group.phase != GroupPhase::Retiring
         && !group
--- a/shalehinge/src/core/router/trying.rs
+++ b/shalehinge/src/core/router/trying.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected to crash upstreams, and the trials that clear or prove them.
+//! Trials of requests that are suspected to crash upstreams.
 
 use std::time::Duration;
 
@@ -14,33 +14,33 @@
 use super::request::{NotRunReason, Outcome, UpstreamId};
 use super::target::Pending;
 
-/// How long a request waits for its trial before its caller is told to come back.
+/// How long a request waits for a trial before its caller is told to retry later.
 const TRIAL_WAIT: Duration = Duration::from_millis(500);
-/// Upstreams that are named in a question for a trial.
+/// Maximum number of candidate upstreams named in a trial request.
 const MOST_CANDIDATES: usize = 8;
 
-/// What becomes of a suspected request that could not be tried.
+/// Outcome of a suspected request that got no trial.
 pub(super) const NO_TRIAL: Outcome = Outcome::NotRun {
     reason: NotRunReason::Quarantined,
     retry_after: SUSPECT_RETRY_AFTER,
 };
 
-/// Where a suspected request stands.
+/// Trial state of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum TrialState {
-    /// It is no suspect, as far as is known.
+    /// The request is not known to be suspected.
     None,
-    /// A trial was asked for; without one it is refused then.
+    /// A trial was requested; without one, the request is refused at `until`.
     Asked {
-        /// When it is refused.
+        /// When the request is refused.
         until: Timestamp,
     },
-    /// It is tried at this upstream alone.
+    /// The request is tried at this upstream only.
     At(UpstreamId),
 }
 
 impl Router {
-    /// Holds a suspected request back until it may be tried.
+    /// Holds back a suspected request and requests a trial for it.
     pub(super) fn hold_for_trial(
         &mut self,
         now: Timestamp,
@@ -60,7 +60,7 @@
             candidates: candidates.iter().map(|u| u.spec.id.clone()).collect(),
         };
         out.push(RouterAction::Log(format!(
-            "request {} may crash upstreams, asks for a trial of {}",
+            "request {} may crash upstreams; requests a trial of {}",
             request.0, question.fingerprint
         )));
         pending.trial = TrialState::Asked {
@@ -70,7 +70,7 @@
         out.push(RouterAction::AskTrial(question));
     }
 
-    /// A request may be tried.
+    /// Handles a granted trial.
     pub fn on_trial(
         &mut self,
         now: Timestamp,
@@ -90,7 +90,7 @@
             return;
         };
         out.push(RouterAction::Log(format!(
-            "request {} is tried alone at {}",
+            "request {} is run alone at {} in a trial",
             request.0, grant.upstream
         )));
         pending.trial = TrialState::At(grant.upstream.clone());
@@ -102,7 +102,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Refuses what got no trial in time, and sends what was cleared meanwhile.
+    /// Refuses requests that got no trial in time, and queues those that have been cleared.
     pub(super) fn check_held(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let (quarantine, settings) = (&self.quarantine, &self.settings);
         self.tried
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether a request that was lost at this upstream was on trial there.
+    /// Whether the lost request was on trial at that upstream.
     pub(super) fn was_tried(&self, loss: &Loss) -> bool {
         self.tried.get(&loss.fingerprint) == Some(&loss.upstream)
     }
--- a/shalehinge/src/core/router/upstream.rs
+++ b/shalehinge/src/core/router/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as this daemon sees it: evidence, room and speed.
+//! State of one upstream as seen by this daemon: evidence, available room and speed.
 
 use std::time::Duration;
 
@@ -16,28 +16,28 @@
 use super::prefix::PrefixHints;
 use super::request::UpstreamId;
 
-/// Part of the KV memory that reservations may fill; the rest is for estimates
-/// that were too low.
+/// Fraction of the KV cache that reservations may fill; the rest allows for estimates that are
+/// too low.
 const KV_FILL: f64 = 0.95;
-/// Requests that a replica may be sent before its first report came.
+/// Number of requests a replica may be sent before its first report.
 const FIRST_ALLOWANCE: f64 = 2.0;
 
-/// How long a listed upstream gets nothing new after a failure or refusal.
+/// How long a listed upstream gets no new requests after a failure or refusal.
 const BACKOFF: Duration = Duration::from_millis(250);
-/// How long one that stood still gets nothing new after its last request ended.
+/// How long an upstream that stalled gets no new requests after its last progress.
 const STALL_BACKOFF: Duration = Duration::from_secs(3);
 
-/// How much longer requests without any output may stand, against `suspect_after`.
+/// Factor applied to `suspect_after` while no request on the upstream has produced output.
 const UNSEEN_SUSPICION: f64 = 2.5;
-/// The same against `stall_after`: they may wait for their turn at an upstream that has
-/// much to do, and to move them then would add to it.
+/// Factor applied to `stall_after` while no request on the upstream has produced output: the
+/// requests may be queued at a busy upstream, and moving them would add to the load.
 const UNSEEN_PATIENCE: f64 = 4.0;
 
-/// Weight of a report's figures against what is known, by their age.
+/// Smoothing weight of a report's figures, by their age.
 fn smoothing(age_ms: Option<u64>) -> f64 {
-    /// Figures up to this age count as they are.
+    /// Figures up to this age, in ms, are used unsmoothed.
     const FRESH_MS: f64 = 100.0;
-    /// Weight of figures of unknown age.
+    /// Weight of figures of unknown age, and the minimum weight.
     const LEAST: f64 = 0.04;
     match age_ms {
         Some(age) => (FRESH_MS / age as f64).clamp(LEAST, 1.0),
@@ -45,107 +45,107 @@
     }
 }
 
-/// What the topology says of an upstream.
+/// An upstream as described by the topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamSpec {
-    /// Its name.
+    /// Identifies the upstream.
     pub id: UpstreamId,
-    /// Where it listens; rank 0 for a replica.
+    /// Address it listens on; that of rank 0 for a replica.
     pub address: Address,
     /// The group that must be complete; `None` for a plain service.
     pub group: Option<GroupNumber>,
-    /// Where it is.
+    /// Failure domain of the upstream.
     pub failure_domain: FailureDomain,
-    /// Whether that is another failure domain than the daemon's.
+    /// Whether the upstream is in another failure domain than the daemon.
     pub remote: bool,
-    /// Whether it may be given new work.
+    /// Whether the upstream may get new requests.
     pub accepts_new: bool,
-    /// The host that takes the requests, where the host list names it.
+    /// The host that receives the requests, if the host list names it.
     pub host: Option<HostId>,
-    /// What shows that it can serve.
+    /// What shows that the upstream can serve.
     pub evidence: Evidence,
-    /// Requests that it runs at once, where that is known beforehand.
+    /// Number of requests that it can run concurrently, if known in advance.
     pub slots: Option<u32>,
-    /// When its engine started, where the host list tells.
+    /// When its engine started, if the host list states it.
     pub started: Option<EngineStart>,
 }
 
 /// What shows that an upstream can serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Its own reports, which count for a short time.
+    /// The upstream's own reports, each valid for a short time.
     Reports,
-    /// The list that names it.
+    /// The list that names the upstream.
     Listed,
 }
 
-/// A load report with the time from which it counts.
+/// A load report and when it was requested.
 #[derive(Clone, Copy, Debug)]
 struct Report {
     load: EngineLoad,
     asked_at: Timestamp,
 }
 
-/// What a request costs an upstream while it runs there.
+/// Estimated cost of a request to the upstream that runs it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Tokens to compute: prompt not cached and expected output.
+    /// Tokens to compute: uncached prompt tokens and expected output tokens.
     pub tokens: f64,
-    /// KV memory at its peak, in tokens.
+    /// Peak use of the KV cache, in tokens.
     pub kv_peak: f64,
 }
 
-/// An upstream with all that is known of it.
+/// State of an upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What the topology says.
+    /// Its description in the topology.
     pub spec: UpstreamSpec,
-    /// Prompts it probably holds.
+    /// Prompt prefixes that its cache probably holds.
     pub prefixes: PrefixHints,
-    /// Whether it is trusted.
+    /// Its ejection state.
     pub outlier: OutlierState,
-    /// How many requests it takes from all daemons together, while it names that.
+    /// The limit on requests from all daemons together, while the upstream names one.
     pub limit: LimitState,
-    /// How long it wants no requests from this daemon.
+    /// The cooldown it requested from this daemon.
     pub cooldown: Cooldown,
-    /// Whether it said that it is leaving.
+    /// Whether it announced that it is leaving.
     pub leaving: LeavingState,
-    /// Time to the first token.
+    /// Smoothed time to first token.
     pub first_token: SmoothedDuration,
-    /// Time between two tokens.
+    /// Smoothed interval between two tokens.
     pub token_interval: SmoothedDuration,
     report: Option<Report>,
     next_report_at: Timestamp,
     report_asked: bool,
     complete_until: Timestamp,
     contradicted_at: Option<Timestamp>,
-    /// It was shown to be complete, and nothing has shown otherwise since.
+    /// The group was shown to be complete, and nothing has contradicted it since.
     was_complete: bool,
-    /// When a complete one was first shown to be no longer.
+    /// When a group that was complete was first found to be incomplete or suspect.
     suspect_since: Option<Timestamp>,
     in_flight: u32,
     kv_in_flight: f64,
-    /// Requests of other daemons, smoothed over reports.
+    /// Requests of other daemons in flight there, smoothed over reports.
     others: Option<f64>,
     allowance: f64,
     ramp: f64,
     kv_since_report: f64,
     sharers: usize,
-    /// A listed one gets nothing new until then, after a failure.
+    /// After a failure, a listed upstream gets no new requests until this time.
     backoff_until: Timestamp,
-    /// When output of any request there last came, or the wait for it began.
+    /// When any request there last made progress, or began to wait for it.
     moved_at: Timestamp,
-    /// When output of any request there last came.
+    /// When any request there last produced output.
     output_at: Option<Timestamp>,
-    /// Requests run there, and none has moved for long.
+    /// Requests are running there, and none has made progress for too long.
     stalled: bool,
     lost: bool,
-    /// Requests there whose output has begun.
+    /// Number of requests there whose output has begun.
     streaming: u32,
 }
 
 impl Upstream {
-    /// An upstream of which nothing is known yet.
+    /// Creates an upstream of which nothing but its description is known.
     pub fn new(spec: UpstreamSpec) -> Self {
         Self {
             spec,
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Takes in what the topology says now. An engine that started again is as one that was
-    /// never seen: only the requests that are still under way are counted on.
+    /// Applies a new description from the topology. An upstream whose engine has restarted is
+    /// treated as new, except that requests still in flight stay counted.
     pub fn update(&mut self, spec: UpstreamSpec) {
         if EngineStart::differ(self.spec.started, spec.started) {
             let known = std::mem::replace(self, Self::new(spec));
@@ -194,7 +194,7 @@
         self.spec = spec;
     }
 
-    /// The replica of a model that it is, if it is one.
+    /// The replica id, if the upstream is a replica of a model.
     pub fn replica(&self) -> Option<&ReplicaId> {
         match &self.spec.id {
             UpstreamId::Replica(replica) => Some(replica),
@@ -202,27 +202,29 @@
         }
     }
 
-    /// Whether it is there and may be given new work, if not now.
+    /// Whether the upstream exists and may get new requests, though perhaps not at this moment.
     pub fn is_present(&self, now: Timestamp) -> bool {
         self.spec.accepts_new && !self.lost && !self.is_leaving(now)
     }
 
-    /// Whether it said that it is leaving.
+    /// Whether the upstream announced that it is leaving.
     pub fn is_leaving(&self, now: Timestamp) -> bool {
         self.leaving.is_leaving(now, &self.spec.id)
     }
 
-    /// Whether it surely lost a member.
+    /// Whether the upstream has definitely lost a member.
     pub fn is_lost(&self) -> bool {
         self.lost
     }
 
-    /// It surely lost a member; another group of these hosts has another number.
+    /// Records the definite loss of a member. This state is final: a new group of the same hosts
+    /// has another number.
     pub fn on_lost(&mut self) {
         self.lost = true;
     }
 
-    /// Until when it gets nothing, if that is so now, for a cooldown, a failure or an ejection.
+    /// The time before which the upstream gets no requests because of a cooldown, a failure or an
+    /// ejection; `None` if it may get requests now.
     pub fn held_back_until(&self, now: Timestamp) -> Option<Timestamp> {
         let cooldown = self.cooldown.blocked_until(now);
         let backoff = Some(self.backoff_until).filter(|until| now < *until);
@@ -230,17 +232,18 @@
         cooldown.max(backoff).max(ejection)
     }
 
-    /// Whether requests run there and none has moved for long.
+    /// Whether requests are running there and none has made progress for too long.
     pub fn is_stalled(&self) -> bool {
         self.stalled
     }
 
-    /// Whether fresh evidence shows all members present; plain services have none.
+    /// Whether fresh evidence shows that all members are present; always true for listed
+    /// upstreams.
     pub fn is_complete(&self, now: Timestamp) -> bool {
         self.spec.evidence == Evidence::Listed || now < self.complete_until
     }
 
-    /// Until when a request with this deadline may be sent on what is known now.
+    /// Time until which a request with this deadline may be sent, based on current evidence.
     pub fn valid_until(&self, deadline: Timestamp) -> Timestamp {
         match self.spec.evidence {
             Evidence::Reports => self.complete_until.min(deadline),
@@ -248,12 +251,12 @@
         }
     }
 
-    /// Requests of this daemon that run there.
+    /// Number of this daemon's requests in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether a report should be asked for now; notes that it was.
+    /// Whether to request a report now; if so, records that it was requested.
     pub fn wants_report(&mut self, now: Timestamp, settings: &RouterSettings) -> bool {
         let reports = self.spec.evidence == Evidence::Reports;
         if !reports || self.report_asked || now < self.next_report_at {
@@ -264,7 +267,8 @@
         true
     }
 
-    /// A report came that was asked for at `asked_at`. `sharers` daemons send there.
+    /// Handles a report requested at `asked_at`. `sharers` is the number of daemons that send to
+    /// the upstream.
     pub fn on_report(
         &mut self,
         asked_at: Timestamp,
@@ -312,27 +316,29 @@
         let allowance = if free > 0.0 {
             own + (free / sharers.max(1) as f64).ceil()
         } else {
-            // Too much is there: everyone steps back by its part of it.
+            // The upstream is overcommitted: each daemon reduces its allowance in proportion.
             own + free * own / outstanding.max(1.0)
         };
         self.allowance = allowance.clamp(1.0, self.ramp.max(1.0));
     }
 
-    /// What a report says of the others is as old as the report, while this
-    /// daemon's own part is always known exactly. Old figures are smoothed: all
-    /// daemons that act at once on the same old figures would swing together.
+    /// Smooths the number of other daemons' requests. A report's figures on other daemons are as
+    /// old as the report, while this daemon's own share is always known exactly. Without
+    /// smoothing, all daemons would react to the same outdated figures at once and oscillate
+    /// together.
     fn note_others(&mut self, others: f64, smoothing: f64) {
         let known = self.others.unwrap_or(others);
         self.others = Some((known + smoothing * (others - known)).max(0.0));
     }
 
-    /// No report came.
+    /// Records that a report request failed.
     pub fn on_report_failed(&mut self, now: Timestamp) {
         self.report_asked = false;
         self.contradict(now);
     }
 
-    /// Something showed that it can't serve: only later evidence counts again.
+    /// Records evidence that the upstream cannot serve; only newer evidence makes it eligible
+    /// again.
     pub fn contradict(&mut self, now: Timestamp) {
         if self.was_complete {
             self.was_complete = false;
@@ -349,8 +355,8 @@
         self.prefixes.clear();
     }
 
-    /// Whether it was complete until a short while ago: its failure domain's
-    /// lease holder should look at it.
+    /// Whether the upstream was complete until recently, so that the lease holder of its failure
+    /// domain should check it.
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         const TOLD_FOR: Duration = Duration::from_secs(5);
         self.spec.accepts_new
@@ -359,7 +365,7 @@
                 .is_some_and(|at| now.since(at) < TOLD_FOR)
     }
 
-    /// Whether one more request of this daemon has room there.
+    /// Whether there is room for one more request of this daemon.
     pub fn has_room(&self, work: Work, settings: &RouterSettings) -> bool {
         if !self.cooldown.has_room() {
             return false;
@@ -374,8 +380,8 @@
         slot && (!settings.reserve_kv || self.has_kv_room(work))
     }
 
-    /// Requests of this daemon that a listed upstream may run at a time. Others
-    /// send there too, unevenly, so the even part is exceeded by a factor.
+    /// Maximum number of this daemon's concurrent requests to a listed upstream. Other daemons
+    /// send there too, but unevenly, so an even share is multiplied by a factor.
     fn own_limit(&self, settings: &RouterSettings) -> u32 {
         let Some(slots) = self.spec.slots else {
             return settings.service_concurrency;
@@ -385,28 +391,28 @@
         part.ceil().clamp(1.0, whole.ceil()) as u32
     }
 
-    /// How many daemons send there.
+    /// Sets the number of daemons that send to this upstream.
     pub fn set_sharers(&mut self, sharers: usize) {
         self.sharers = sharers;
     }
 
-    /// The first output of a request came.
+    /// Records the first output of a request.
     pub fn on_first_output(&mut self) {
         self.streaming += 1;
     }
 
-    /// Output of a request that runs there came.
+    /// Records output of a request in flight there.
     pub fn on_progress(&mut self, now: Timestamp) {
         self.output_at = Some(now);
         self.restart_stall_clock(now);
     }
 
-    /// When output of any request there last came.
+    /// When any request there last produced output.
     pub fn output_at(&self) -> Option<Timestamp> {
         self.output_at
     }
 
-    /// Counts the time without output anew.
+    /// Restarts the time without progress at `now`.
     pub fn restart_stall_clock(&mut self, now: Timestamp) {
         self.moved_at = now;
         self.stalled = false;
@@ -415,14 +421,15 @@
         }
     }
 
-    /// Notes whether nothing moves there any more, though requests run; true if that
-    /// was found just now. The lease holder is told earlier than requests are moved.
+    /// Checks whether requests are running without progress; returns true when a stall is first
+    /// detected. The upstream becomes suspect, which is reported to the lease holder, before its
+    /// requests are moved.
     pub fn check_stall(&mut self, now: Timestamp, settings: &RouterSettings) -> bool {
         let is_watched = self.spec.evidence == Evidence::Listed && self.spec.group.is_some();
         if !is_watched || self.in_flight == 0 || self.stalled || self.lost {
             return false;
         }
-        // Those that wait for their first output may wait for their turn.
+        // Requests without output may still be queued at the upstream.
         let (suspicion, patience) = if self.streaming > 0 {
             (1.0, 1.0)
         } else {
@@ -436,7 +443,8 @@
         self.stalled
     }
 
-    /// Whether the peak of this work fits beside what runs and what was sent since.
+    /// Whether the peak KV use of this work fits beside running requests and those sent since the
+    /// last report.
     fn has_kv_room(&self, work: Work) -> bool {
         let Some(report) = self.report.filter(|report| report.load.kv_total > 0) else {
             return true;
@@ -446,7 +454,7 @@
         self.in_flight == 0 || used + work.kv_peak <= fill
     }
 
-    /// A request was sent there.
+    /// Records that a request was sent.
     pub fn on_sent(&mut self, now: Timestamp, work: Work) {
         if self.in_flight == 0 {
             self.moved_at = now;
@@ -458,14 +466,14 @@
         self.kv_since_report += work.kv_peak;
     }
 
-    /// A request that was sent there at `sent_at` has ended.
+    /// Records that a request sent at `sent_at` has ended.
     pub fn on_ended(&mut self, sent_at: Timestamp, work: Work, had_output: bool) {
         self.cooldown.on_ended(sent_at);
         self.streaming = self.streaming.saturating_sub(u32::from(had_output));
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 && self.stalled {
-            // Nothing runs there that could show that it moves again: a later
-            // request tries, after a while.
+            // No request is left there that could show progress, so a later request will test the
+            // upstream after a delay.
             self.stalled = false;
             self.backoff_until = self.backoff_until.max(self.moved_at + STALL_BACKOFF);
         }
@@ -473,7 +481,8 @@
         self.kv_since_report -= work.kv_peak;
     }
 
-    /// Part of the capacity in use: own requests, and the others' by the reports.
+    /// Fraction of the capacity in use: requests of this daemon, and those of others according to
+    /// reports.
     pub fn load(&self, settings: &RouterSettings) -> f64 {
         let own = f64::from(self.in_flight);
         let Some(report) = self.report.filter(|report| report.load.slots > 0) else {
