--- a/shalehinge/tests/cooldowns.rs
+++ b/shalehinge/tests/cooldowns.rs
@@ -1,4 +1,4 @@
-//! Upstreams that turn requests away and ask each daemon for a cooldown.
+//! Upstreams that refuse requests and ask each daemon for a cooldown.
 
 mod relay_support;
 
@@ -8,14 +8,15 @@
 use relay_support::{Arrival, TurnedAway};
 use shalehinge::core::router::request::Outcome;
 
-/// What the upstreams ask for.
+/// The cooldown that upstreams request.
 const COOLDOWN: Duration = Duration::from_secs(3);
-/// What was under way when a daemon was asked is still allowed for so long.
+/// Time after a cooldown was requested during which requests already in flight may still arrive.
 const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Requests of one daemon that users allow in the rest of a cooldown.
+/// Number of requests per daemon that users tolerate in the rest of a cooldown.
 const ALLOWED: usize = 2;
 
-/// Most requests of one daemon to one upstream in the cooldown that it had asked it for.
+/// The highest number of requests from one daemon to one upstream during a cooldown that the
+/// upstream had requested from it.
 fn most_in_cooldown(scene: &Scene) -> usize {
     let within = |turned: &TurnedAway, arrival: &&Arrival| {
         let is_same = (arrival.daemon, arrival.group) == (turned.daemon, turned.group);
@@ -29,7 +30,7 @@
     counts.max().unwrap_or(0)
 }
 
-/// Longest wait for an upstream, by the settings.
+/// The longest time a request waits for an upstream, as in the settings.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
 fn cool(scene: &mut Scene, groups: std::ops::Range<u64>, cooldown: Duration) {
@@ -44,7 +45,10 @@
     cool(&mut scene, 0..6, COOLDOWN);
     scene.serve_seconds(8);
     let most = most_in_cooldown(&scene);
-    assert!(most <= ALLOWED, "{most} requests, allowed {ALLOWED}");
+    assert!(
+        most <= ALLOWED,
+        "{most} requests during a cooldown, allowed {ALLOWED}"
+    );
     assert!(!scene.fleet.turned_away.is_empty());
 }
 
@@ -54,10 +58,14 @@
     cool(&mut scene, 0..20, COOLDOWN);
     scene.serve_seconds(8);
     let most = most_in_cooldown(&scene);
-    assert!(most <= ALLOWED, "{most} requests, allowed {ALLOWED}");
+    assert!(
+        most <= ALLOWED,
+        "{most} requests during a cooldown, allowed {ALLOWED}"
+    );
 }
 
-/// Every upstream asks for this cooldown, and for no other one.
+/// A scene in which every upstream has requested this cooldown once. Also returns when the first
+/// cooldown ends.
 fn all_cool_once(cooldown: Duration) -> (Scene, Duration) {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
@@ -67,7 +75,7 @@
     scene.fleet.outcomes.clear();
     let asked = scene.fleet.turned_away.iter();
     let ends = asked.map(|turned| turned.at + turned.cooldown).min();
-    (scene, ends.expect("asked"))
+    (scene, ends.expect("a cooldown was requested"))
 }
 
 #[test]
@@ -82,13 +90,13 @@
         };
         assert!(
             (wait..=latest).contains(retry_after),
-            "told {retry_after:?}, true {wait:?} at least"
+            "retry after {retry_after:?}, expected at least {wait:?}"
         );
     }
     assert_eq!(
         scene.fleet.outcomes.len(),
         90,
-        "none waits for its deadline"
+        "no request may wait for its deadline"
     );
 }
 
@@ -118,7 +126,7 @@
     for index in 0..18 {
         assert!(
             scene.rate_since(index, since) > 5.0,
-            "it has its share again"
+            "the upstream must get its share again"
         );
     }
 }
@@ -130,7 +138,7 @@
     let since = scene.fleet.now;
     scene.serve_seconds(8);
     let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    assert_eq!(whole, all, "the other upstreams must serve all requests");
     for index in 1..18 {
         assert!(scene.rate_since(index, since) > 5.0);
     }
@@ -147,10 +155,11 @@
     let late: usize = (0..3).map(|index| scene.times(index, since).len()).sum();
     assert_eq!(late, 0);
     let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    assert_eq!(whole, all, "the other upstreams must serve all requests");
 }
 
-/// Most requests in half a second from `since` on, at the busiest of these upstreams.
+/// The highest number of requests in half a second from `since` on, at the busiest of these
+/// upstreams.
 fn most_in_half_a_second(scene: &Scene, groups: std::ops::Range<u64>, since: Duration) -> usize {
     let busiest = |index| {
         let times = scene.times(index, since);
@@ -188,8 +197,8 @@
         scene.serve_seconds(4);
         let burst = most_in_half_a_second(&scene, 0..cooling, end);
         println!(
-            "{daemons} daemons, {cooling} of {groups} cool: {turned_away} turned away in 9 s, {whole} of {all} served, \
-             {in_cooldown} at most in a cooldown, {burst} at most in half a second after, {messages} messages"
+            "{daemons} daemons, {cooling} of {groups} upstreams in a cooldown: {turned_away} requests refused in 9 s, {whole} of {all} served, \
+             at most {in_cooldown} in a cooldown, at most {burst} in half a second afterwards, {messages} messages"
         );
     }
 }
--- a/shalehinge/tests/failing_requests.rs
+++ b/shalehinge/tests/failing_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that fail wherever they run, and upstreams that fail whatever they run.
+//! Requests that fail on every upstream, and upstreams that fail every request.
 //!
-//! What happens: one caller sends a request that each upstream answers with 500, again and
-//! again. Three such failures in a row eject an upstream, so that a daemon takes one after the
-//! other out of use, up to four in ten of them, and refuses or delays requests of other callers
-//! that these would have served. Why: a failure is counted against whoever ran the request,
-//! and nothing remembers that the same request failed elsewhere too. What showed it: 4 of 10
-//! upstreams out of use after 30 such requests.
+//! Guards against one caller's request ejecting upstreams that other callers need. If every
+//! upstream answers the request with status 500 and the caller repeats it, three failures in a
+//! row eject an upstream. Failures used to count against whichever upstream ran the request,
+//! without regard to failures of the same request elsewhere: after 30 such requests, a daemon had
+//! ejected 4 of 10 upstreams, the maximum, and refused or delayed requests that these could have
+//! served.
 
 mod router_support;
 
@@ -14,12 +14,12 @@
 use router_support::{Harness, request};
 use shalehinge::core::router::request::{AttemptEnd, UpstreamId};
 
-/// A request that always fails; all that have this number ask the same.
+/// Fingerprint of a request that always fails.
 const ALWAYS_FAILS: u64 = 1_000_000;
 const FAILED: AttemptEnd = AttemptEnd::Failed { status: 500 };
 const COMPLETED: AttemptEnd = AttemptEnd::Completed { output_tokens: 8 };
 
-/// Fails all attempts of a request that asks this.
+/// Submits a request with this fingerprint and fails all its attempts.
 fn fail(harness: &mut Harness, number: u64, asks: u64) {
     harness.submit(number, request().repeatable().that_asks_as(asks));
     while harness.answer(number).is_none() {
@@ -27,7 +27,8 @@
     }
 }
 
-/// A harmless request that fails where an upstream fails whatever it runs.
+/// Submits a harmless request with this fingerprint, which fails on the upstreams in `failing`
+/// and completes on others.
 fn serve(harness: &mut Harness, number: u64, asks: u64, failing: &[UpstreamId]) {
     harness.submit(number, request().that_asks_as(asks));
     let runs_at = harness.upstream_of(number);
@@ -35,12 +36,12 @@
     harness.end(number, if fails { FAILED } else { COMPLETED });
 }
 
-/// Upstreams that an otherwise idle daemon chose for its first requests.
+/// The first `count` different upstreams that an otherwise idle daemon selects.
 fn some_upstreams(harness: &mut Harness, count: usize) -> Vec<UpstreamId> {
     let mut chosen: Vec<UpstreamId> = Vec::new();
     for number in 900_000..900_100 {
         harness.submit(number, request());
-        let upstream = harness.upstream_of(number).expect("has room");
+        let upstream = harness.upstream_of(number).expect("an upstream with room");
         harness.end(number, COMPLETED);
         if chosen.len() < count && !chosen.contains(&upstream) {
             chosen.push(upstream);
@@ -56,7 +57,7 @@
         fail(&mut harness, number, ALWAYS_FAILS);
     }
     let ejected = harness.ejected();
-    assert!(ejected.len() <= 1, "{} of 10 out of use", ejected.len());
+    assert!(ejected.len() <= 1, "{} of 10 ejected", ejected.len());
 }
 
 #[test]
@@ -66,7 +67,7 @@
         fail(&mut harness, number, ALWAYS_FAILS + number % 3);
     }
     let ejected = harness.ejected();
-    assert!(ejected.len() <= 3, "{} of 30 out of use", ejected.len());
+    assert!(ejected.len() <= 3, "{} of 30 ejected", ejected.len());
 }
 
 #[test]
@@ -81,7 +82,7 @@
         let ejected = harness.ejected();
         assert!(
             ejected.is_empty(),
-            "{} of 4 in round {round}",
+            "{} of 4 ejected in round {round}",
             ejected.len()
         );
     }
@@ -124,6 +125,13 @@
     let missed = failing
         .iter()
         .filter(|upstream| !ejected.contains(upstream));
-    assert_eq!(missed.count(), 0, "{ejected:?} of {failing:?}");
-    assert!(ejected.len() <= 4, "{ejected:?} of {failing:?}");
+    assert_eq!(
+        missed.count(),
+        0,
+        "ejected {ejected:?}, failing {failing:?}"
+    );
+    assert!(
+        ejected.len() <= 4,
+        "ejected {ejected:?}, failing {failing:?}"
+    );
 }
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -1,13 +1,13 @@
-//! Upstreams in need that name how many requests they take from all daemons together.
+//! Overloaded upstreams that name a limit on the requests they accept from all daemons together.
 //!
-//! Callers saw nothing at first: two replicas that had named limits of 1.4 and 1.1 requests a second
-//! went on getting 4.6 and 3.3 of them, from seven of nine daemons, none of which sent more than
-//! four in four seconds.
+//! Guards against limits being ignored: two replicas that had named limits of 1.4 and 1.1
+//! requests per second kept receiving 4.6 and 3.3 per second, from seven of nine daemons, none of
+//! which sent more than four requests in four seconds. The limit header was passed through to
+//! callers like any other header and no code read it; both replicas received the same rate before
+//! and after they named their limits.
 //!
-//! Cause: the limit passed through to callers as any other header, and no decision knew of it. Evidence:
-//! the two got the same rate before they named their limits and for as long after as was looked, and
-//! no source named the header. A part of the limit for each daemon would not have held either: 340
-//! daemons that may each send one request send 340 at once.
+//! Dividing the limit evenly among the daemons would not work either: 340 daemons that may each
+//! send one request can send 340 at once.
 
 mod relay_support;
 
@@ -17,17 +17,18 @@
 use shalehinge::core::named_limit::RequestRate;
 use shalehinge::core::router::request::Outcome;
 
-/// Where the requests of a limited upstream are counted.
+/// Length of the window in which the requests to a limited upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a limit was first named until it must hold.
+/// Time after a limit was first named until it must be observed.
 const IN_CONTACT: Duration = Duration::from_secs(3);
-/// Requests in a window above which users say that a limit is broken.
+/// The highest number of requests in a window that users tolerate at this limit, in requests per
+/// second.
 fn most_in_window(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 fn rate(value: f64) -> RequestRate {
-    RequestRate::per_second(value).expect("a rate")
+    RequestRate::per_second(value).expect("a valid rate")
 }
 
 trait Limits {
@@ -40,7 +41,7 @@
         self.fleet.limits.insert(group(index), rate(value));
     }
 
-    /// The most requests of a group in any window from `since` on.
+    /// The highest number of requests to a group in any window from `since` on.
     fn most(&self, index: u64, since: Duration) -> usize {
         let times = self.times(index, since);
         let from = |start: &Duration| {
@@ -54,13 +55,14 @@
     }
 }
 
-/// All requests of a limited upstream, from all daemons, stay within what users allow.
+/// Asserts that the requests of all daemons to a limited upstream stay within what users
+/// tolerate.
 fn assert_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
     let most = scene.most(index, since);
     let allowed = most_in_window(value);
     assert!(
         most <= allowed,
-        "{most} requests in 4 s at {value} a second, allowed {allowed}"
+        "{most} requests in 4 s at a limit of {value}/s, allowed {allowed}"
     );
 }
 
@@ -75,7 +77,7 @@
     assert_holds(&scene, 0, 1.4, since);
     assert_holds(&scene, 1, 1.1, since);
     let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    assert_eq!(whole, all, "the other upstreams must serve all requests");
 }
 
 #[test]
@@ -90,10 +92,11 @@
         assert_holds(&scene, index, value, since);
     }
     let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    assert_eq!(whole, all, "the other upstreams must serve all requests");
 }
 
-/// Daemons, groups of the model, rounds between two requests of one daemon.
+/// Number of daemons, number of groups of the model, and rounds between two requests of one
+/// daemon.
 const SIZES: [(u16, u16, usize); 3] = [(3, 4, 1), (9, 18, 1), (90, 60, 4)];
 
 #[test]
@@ -109,10 +112,13 @@
             let used = scene.rate_since(0, since);
             assert!(
                 used >= least,
-                "{used} of {value} a second at {daemons} daemons"
+                "{used}/s used of a limit of {value}/s with {daemons} daemons"
             );
             let (whole, all) = scene.served();
-            assert_eq!(whole, all, "at {value} a second and {daemons} daemons");
+            assert_eq!(
+                whole, all,
+                "not all served at a limit of {value}/s with {daemons} daemons"
+            );
         }
     }
 }
@@ -131,7 +137,10 @@
     let since = scene.fleet.now;
     scene.serve_seconds(8);
     assert_holds(&scene, 0, 5.0, since);
-    assert!(scene.rate_since(0, since) > 1.0, "more is used again");
+    assert!(
+        scene.rate_since(0, since) > 1.0,
+        "the higher limit must be used"
+    );
 }
 
 #[test]
@@ -146,14 +155,14 @@
     let (limited, other) = (scene.rate_since(0, since), scene.rate_since(7, since));
     assert!(
         limited > other / 2.0,
-        "{limited} a second, another one gets {other}"
+        "{limited}/s, another upstream gets {other}/s"
     );
     let held = scene
         .fleet
         .daemons
         .iter()
         .map(|d| d.router().limited_upstreams().count());
-    assert_eq!(held.sum::<usize>(), 0, "no daemon keeps it");
+    assert_eq!(held.sum::<usize>(), 0, "no daemon may keep the limit");
 }
 
 #[test]
@@ -178,7 +187,7 @@
         assert_holds(&scene, index, 2.0, since);
     }
     let served = (scene.served().0 - before) as f64 / 10.0;
-    assert!(served > 18.0 * 2.0 * 0.7, "{served} a second of 36");
+    assert!(served > 18.0 * 2.0 * 0.7, "{served}/s served of 36/s");
     for outcome in &scene.fleet.outcomes {
         match outcome {
             Outcome::Completed => {}
@@ -186,11 +195,14 @@
             other => panic!("{other:?}"),
         }
     }
-    // Each daemon has its callers served, whoever owns the limits.
+    // Each daemon must get requests of its callers served, whichever daemons own the limits.
     for daemon in 0..9 {
         let arrivals = scene.fleet.arrivals.iter();
         let own = arrivals.filter(|a| a.daemon == daemon && a.at >= since);
-        assert!(own.count() >= 10, "daemon {daemon} got next to nothing");
+        assert!(
+            own.count() >= 10,
+            "fewer than 10 requests of daemon {daemon} were served"
+        );
     }
 }
 
@@ -228,7 +240,7 @@
         assert_holds(&scene, index, 1.0, since);
         assert!(
             scene.rate_since(index, since) > 0.2,
-            "others own it meanwhile"
+            "another daemon must own the limit meanwhile"
         );
     }
 }
@@ -265,10 +277,10 @@
     let before = scene.fleet.notices;
     scene.serve_seconds(10);
     let each = (scene.fleet.notices - before) as f64 / 10.0;
-    assert!(each < 30.0, "{each} messages a second of 90 daemons");
+    assert!(each < 30.0, "{each} messages/s from 90 daemons");
 }
 
-/// A limit of which nobody made use for long is no store of permits.
+/// Permits of a limit that was not used for a long time must not accumulate.
 #[test]
 fn few_requests_come_late_and_no_more_than_a_limit_is_sent_at_once() {
     let mut scene = Scene::new(9, 1, usize::MAX);
@@ -296,7 +308,7 @@
             let used = scene.rate_since(0, since);
             let messages = (scene.fleet.notices - notices) as f64 / 13.0;
             println!(
-                "{daemons} daemons, {value}/s: {most} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages a second"
+                "{daemons} daemons, {value}/s: {most} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages/s"
             );
         }
     }
--- a/shalehinge/tests/quarantine.rs
+++ b/shalehinge/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the upstreams that run them: what is counted, decided and told.
+//! Requests that crash the upstreams that run them: how losses are counted, how quarantines are
+//! decided, and what daemons tell each other.
 
 mod relay_support;
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// A daemon's knowledge, with the default settings.
+/// The quarantine state of one daemon, with default settings.
 #[derive(Default)]
 struct Known {
     quarantine: Quarantine,
@@ -62,7 +63,10 @@
 #[test]
 fn what_was_lost_at_two_upstreams_is_quarantined_until_its_time_is_over() {
     let mut known = Known::default();
-    assert!(!known.lose(1, 10), "one loss may be the upstream's");
+    assert!(
+        !known.lose(1, 10),
+        "a single loss may be the upstream's fault"
+    );
     assert!(!known.is_quarantined(11));
     assert!(known.lose(2, 20));
     assert!(known.is_quarantined(21));
@@ -78,7 +82,7 @@
     let told = known.quarantine.learn_loss(loss(1, 10), &known.settings);
     assert!(!told);
     assert!(!known.is_quarantined(11));
-    // An instance that was back under its old name and crashed again.
+    // An instance that returned under the same name and crashed again.
     let again = known.quarantine.learn_loss(loss(1, 15), &known.settings);
     assert!(again);
 }
@@ -98,7 +102,10 @@
     known.quarantine.note_completion(completion(11));
     assert!(!known.lose(2, 12));
     assert!(known.lose(3, 13));
-    assert!(known.quarantine.note_completion(completion(14)), "it ends");
+    assert!(
+        known.quarantine.note_completion(completion(14)),
+        "the quarantine must end"
+    );
     assert!(!known.is_quarantined(15));
 }
 
@@ -177,7 +184,7 @@
     assert_ne!(before, of("one", "POST", "h/a", &large));
 }
 
-/// Daemons that route to groups of a model.
+/// A fleet of daemons that route to 60 groups of a model.
 fn fleet(daemons: u16) -> Fleet {
     let mut fleet = Fleet::new(daemons);
     fleet.platform.open_groups(60);
@@ -192,7 +199,7 @@
         fleet.crashing_stream(index);
         fleet.run(Duration::from_millis(100));
     }
-    assert!(fleet.crashes >= 2, "it was sent");
+    assert!(fleet.crashes >= 2, "the request must have been sent");
     assert!(fleet.crashes <= 4, "{} upstreams crashed", fleet.crashes);
 }
 
@@ -203,10 +210,10 @@
     fleet.crashing_stream(0);
     fleet.crashing_stream(1);
     fleet.run(Duration::from_secs(2));
-    // The trial that proves it.
+    // The trial that proves that the request crashes upstreams.
     fleet.crashing_stream(2);
     fleet.run(Duration::from_secs(1));
-    assert_eq!(fleet.crashes, 3, "it was tried");
+    assert_eq!(fleet.crashes, 3, "a trial must have run");
     fleet.dead.remove(&8);
     fleet.run(Duration::from_secs(3));
     let crashes = fleet.crashes;
@@ -226,7 +233,7 @@
         let routers = fleet.daemons.iter().map(|daemon| daemon.router());
         routers.map(|r| r.quarantined(now).count()).sum::<usize>()
     };
-    assert_eq!(held(&fleet), 3, "each daemon knows");
+    assert_eq!(held(&fleet), 3, "every daemon must know of the quarantine");
     fleet.run(RouterSettings::default().quarantine_for);
     assert_eq!(held(&fleet), 0);
 }
@@ -242,7 +249,7 @@
         fleet.crashing_stream(index);
     }
     fleet.run(Duration::from_secs(3));
-    assert_eq!(fleet.crashes, 3, "90 daemons had it at once");
+    assert_eq!(fleet.crashes, 3, "90 daemons got the request at once");
 }
 
 #[test]
@@ -251,11 +258,11 @@
     fleet.crashing_stream(0);
     fleet.crashing_stream(1);
     fleet.run(Duration::from_secs(2));
-    // What asks the same, and does not crash any more.
+    // A request with the same fingerprint that no longer crashes its upstream.
     fleet.same_stream_that_ends_whole(2);
     fleet.run(Duration::from_secs(1));
     let sent = fleet.arrivals.len();
-    assert_eq!(sent, 1, "its trial");
+    assert_eq!(sent, 1, "only the trial may have been sent");
     for index in 0..9 {
         fleet.same_stream_that_ends_whole(index);
     }
@@ -275,12 +282,16 @@
     };
     let first = owner.ask(at(1), &ask(1, &[&upstream]));
     assert_eq!(first.map(|grant| grant.upstream), Some(upstream.clone()));
-    assert_eq!(owner.ask(at(1), &ask(1, &[&other])), None, "one at a time");
+    assert_eq!(
+        owner.ask(at(1), &ask(1, &[&other])),
+        None,
+        "only one trial of a request at a time"
+    );
     assert_eq!(owner.ask(at(1), &ask(2, &[&upstream])), None);
     let second = owner.ask(at(1), &ask(2, &[&upstream, &other]));
     assert_eq!(second.map(|grant| grant.upstream), Some(other));
     owner.end(Fingerprint(1));
     assert!(owner.ask(at(2), &ask(3, &[&upstream])).is_some());
-    // A trial of which nothing was heard.
+    // A trial whose result was never reported, and which has expired.
     assert!(owner.ask(at(9), &ask(2, &[&upstream])).is_some());
 }
--- a/shalehinge/tests/quarantine_harmless.rs
+++ b/shalehinge/tests/quarantine_harmless.rs
@@ -1,14 +1,15 @@
-//! Requests that crash nobody, and callers that are refused all the same.
+//! Harmless requests that are quarantined by mistake.
 //!
-//! What happened: a request that ran at two upstreams as each crashed was refused for half an
-//! hour, though another request or a dark rack ended them. Why: two crashes name all that ran
-//! at both; only a whole answer ended a quarantine, and what is refused can't bring one. So each
-//! is tried alone before it is condemned. What showed it: of 30 harmless requests beside one that crashes whoever runs it 11 were refused
-//! for all of the 8 s that were looked at, with three daemons and three replicas; a request that
-//! a client repeats was refused for as long after two replicas had gone dark under it.
+//! Guards against refusing a harmless request for half an hour because it ran at two upstreams as
+//! each crashed, though another request or a dark rack was the cause. Two crashes implicate
+//! everything that ran at both, and only a complete answer ends a quarantine, which a refused
+//! request can never produce; so each suspected request is first run alone in a trial. Without
+//! trials, with three daemons and three replicas, 11 of 30 harmless requests beside one that
+//! crashes its upstreams were refused for all of the 8 s observed, and a repeated request was
+//! refused for as long after two replicas had gone dark while running it.
 //!
-//! And the other way round: after all daemons were killed nothing is known of what crashed, and
-//! the request that did it ends two upstreams more.
+//! A related fault: once all daemons have been killed, nothing is known of earlier crashes, so
+//! the request that caused them crashes two more upstreams.
 
 mod relay_support;
 mod router_support;
@@ -19,13 +20,13 @@
 use router_support::{Harness, request};
 use shalehinge::core::router::request::{AttemptEnd, UpstreamId};
 
-/// How soon a harmless request is to be served once an upstream could run it.
+/// Time within which a harmless request must be served once an upstream could run it.
 const SERVED_WITHIN: Duration = Duration::from_secs(3);
-/// Upstreams of a fleet in contact that one request may end.
+/// Maximum number of upstreams that one request may crash while the daemons can reach each other.
 const MOST_CRASHES: usize = 3;
 const CULPRIT: u64 = 1_000_000;
 
-/// All of these requests that run at this upstream are lost, and it is gone.
+/// Ends those of the given requests that run at this upstream as lost.
 fn crash(harness: &mut Harness, upstream: &UpstreamId, numbers: std::ops::Range<u64>) {
     for number in numbers {
         if harness.upstream_of(number).as_ref() == Some(upstream) {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Whether a request that asks this is sent to an upstream now.
+/// Whether a request with this fingerprint is sent to an upstream now; if so, it is completed.
 fn is_served(harness: &mut Harness, number: u64, asks: u64) -> bool {
     harness.submit(number, request().that_asks_as(asks));
     let is_sent = harness.attempts(number) > 0;
@@ -61,7 +62,7 @@
     for round in 0..2 {
         let first = 1 + round * 100;
         harness.submit(first, request().that_asks_as(CULPRIT));
-        let culprit_at = harness.upstream_of(first).expect("it was sent");
+        let culprit_at = harness.upstream_of(first).expect("the request was sent");
         for number in 1..30 {
             harness.submit(first + number, request().that_asks_as(number));
         }
@@ -72,7 +73,7 @@
     }
     harness.advance(SERVED_WITHIN);
     let refused = (1..30).filter(|asks| !is_served(&mut harness, 1_000 + asks, *asks));
-    assert_eq!(refused.count(), 0, "of 29 harmless ones are refused");
+    assert_eq!(refused.count(), 0, "of 29 harmless requests were refused");
 }
 
 #[test]
@@ -88,5 +89,5 @@
         }
         crashes += fleet.crashes;
     }
-    assert!(crashes <= MOST_CRASHES, "{crashes} upstreams ended");
+    assert!(crashes <= MOST_CRASHES, "{crashes} upstreams crashed");
 }
--- a/shalehinge/tests/router.rs
+++ b/shalehinge/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router alone: given these upstreams and attempts, expect that answer.
+//! Tests of the router alone, without daemons, platform or network.
 
 mod router_support;
 
@@ -68,7 +68,7 @@
         retry_after,
     }) = harness.answer(1)
     else {
-        panic!("no refusal");
+        panic!("the request was not refused");
     };
     assert_eq!(reason, NotRunReason::NoUpstream);
     assert!(retry_after > Duration::ZERO);
@@ -119,7 +119,10 @@
         harness.end(number, AttemptEnd::Completed { output_tokens: 8 });
     }
     let large_before_small = (0..200).filter(|n| harness.attempts(*n) > 0).count();
-    assert!(large_before_small < 50, "{large_before_small} went first");
+    assert!(
+        large_before_small < 50,
+        "{large_before_small} requests of the large customer were sent first"
+    );
 }
 
 #[test]
@@ -144,7 +147,7 @@
     assert_eq!(
         to_failing(&harness, 0..30),
         3,
-        "ejected after three failures"
+        "ejected after three consecutive failures"
     );
     harness.advance(Duration::from_secs(6));
     for number in 100..130 {
@@ -153,7 +156,7 @@
     assert_eq!(
         to_failing(&harness, 100..130),
         1,
-        "one at a time on probation"
+        "only one request at a time on probation"
     );
 }
 
@@ -164,7 +167,7 @@
     harness.submit(1, request().repeatable());
     harness.end(1, AttemptEnd::Lost);
     harness.end(1, AttemptEnd::Lost);
-    assert_eq!(harness.attempts(1), 2, "of three that the settings allow");
+    assert_eq!(harness.attempts(1), 2, "the settings allow three attempts");
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(1), Some(Outcome::Unknown { reason }));
     harness.submit(2, request().repeatable().that_asks_as(1));
@@ -174,12 +177,12 @@
         retry_after,
     }) = harness.answer(2)
     else {
-        panic!("no refusal");
+        panic!("the request was not refused");
     };
     assert_eq!(reason, NotRunReason::Quarantined);
     assert!(retry_after > Duration::from_secs(1));
     harness.submit(3, request().repeatable());
-    assert_eq!(harness.attempts(3), 1, "others are served");
+    assert_eq!(harness.attempts(3), 1, "other requests are served");
 }
 
 #[test]
@@ -190,7 +193,7 @@
     harness.submit(2, request().that_asks_as(1));
     harness.fill();
     harness.submit(3, request().that_asks_as(1));
-    assert_eq!(harness.attempts(3), 0, "it waits");
+    assert_eq!(harness.attempts(3), 0, "it must wait for room");
     harness.end(1, AttemptEnd::Lost);
     harness.end(2, AttemptEnd::Lost);
     harness.advance(Duration::from_millis(100));
@@ -212,12 +215,13 @@
     for number in 1..6 {
         harness.submit(number, request().that_asks_as(1));
         harness.end(number, AttemptEnd::Lost);
-        assert_eq!(harness.attempts(number), 1, "it is sent each time");
+        assert_eq!(harness.attempts(number), 1, "it must be sent each time");
         harness.advance(Duration::from_secs(1));
     }
 }
 
-/// An attempt was lost, and whether its upstream crashed is not known yet: it may have run.
+/// The attempt was lost, and the check whether its upstream crashed is still under way, so the
+/// request may have run.
 #[test]
 fn a_request_that_waits_for_the_look_at_its_upstream_is_not_answered_as_not_run() {
     let mut harness = Harness::with_replicas(4);
@@ -227,7 +231,7 @@
     harness.holds_back_looks = true;
     harness.submit(2, request().that_asks_as(1).with_key());
     harness.end(2, AttemptEnd::Lost);
-    assert_eq!(harness.answer(2), None, "it waits for the look");
+    assert_eq!(harness.answer(2), None, "it must wait for the check");
     harness.take_keys_away();
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(2), Some(Outcome::Unknown { reason }));
@@ -247,7 +251,8 @@
     assert_eq!(harness.answer(2), Some(Outcome::Unknown { reason }));
 }
 
-/// A harness in which two upstreams crashed under request 7, and its trial is due.
+/// A harness in which two upstreams crashed while running fingerprint 7, and a trial of it is
+/// due.
 fn with_a_suspect() -> Harness {
     let mut harness = Harness::with_replicas(6);
     harness.upstreams_crash = true;
@@ -263,8 +268,9 @@
 fn a_trial_that_ends_an_upstream_proves_the_request_and_nothing_that_ran_beside_it() {
     let mut harness = with_a_suspect();
     harness.submit(3, request().that_asks_as(7));
-    let tried_at = harness.upstream_of(3).expect("it is tried");
-    // What else runs there, twice: a crash each would make it a suspect.
+    let tried_at = harness.upstream_of(3).expect("a trial");
+    // Requests with another fingerprint on the same upstream. If their losses counted as crashes,
+    // they would become suspected.
     let beside: Vec<u64> = (10..30)
         .filter(|number| {
             harness.submit(*number, request().that_asks_as(8)) == Some(tried_at.clone())
@@ -279,11 +285,11 @@
     harness.submit(4, request().that_asks_as(7));
     assert_eq!(harness.attempts(4), 0);
     let Some(Outcome::NotRun { retry_after, .. }) = harness.answer(4) else {
-        panic!("no refusal");
+        panic!("the request was not refused");
     };
     assert!(
         retry_after > Duration::from_secs(30),
-        "to come back soon is of no use"
+        "retrying soon is useless for a proven request"
     );
 }
 
@@ -292,14 +298,18 @@
     let mut harness = with_a_suspect();
     harness.grants_trials = false;
     harness.submit(3, request().that_asks_as(7));
-    assert_eq!(harness.answer(3), None, "it asks for a trial");
+    assert_eq!(harness.answer(3), None, "it must wait for a trial");
     harness.advance(Duration::from_secs(1));
     let Some(Outcome::NotRun { retry_after, .. }) = harness.answer(3) else {
-        panic!("no refusal");
+        panic!("the request was not refused");
     };
     assert!(retry_after <= Duration::from_secs(1));
     harness.submit(4, request());
-    assert_eq!(harness.attempts(4), 1, "nothing waits behind it");
+    assert_eq!(
+        harness.attempts(4),
+        1,
+        "other requests must not wait for the trial"
+    );
 }
 
 #[test]
@@ -323,7 +333,7 @@
     harness.keep(5);
     harness.advance(Duration::from_secs(3));
     harness.submit(3, request().that_asks_as(7));
-    assert_eq!(harness.attempts(3), 0, "one of six is missing");
+    assert_eq!(harness.attempts(3), 0, "one of six upstreams is missing");
     harness.advance(Duration::from_secs(4));
     harness.submit(4, request().that_asks_as(7));
     assert_eq!(harness.attempts(4), 1);
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -1,4 +1,4 @@
-//! A router with a few replicas, for tests that read as examples.
+//! A router with a few replicas, driven step by step.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -25,11 +25,11 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// What a test says of a request.
+/// Builds a request.
 #[derive(Clone)]
 pub struct RequestBuilder(RequestMeta, Option<Fingerprint>);
 
-/// A request that may not be repeated, with a minute to run.
+/// A request that must not be repeated, with a deadline 60 s after it is submitted.
 pub fn request() -> RequestBuilder {
     RequestBuilder(
         RequestMeta {
@@ -58,13 +58,13 @@
         self
     }
 
-    /// It came with a key that may be taken away.
+    /// It carries an API key that can be revoked.
     pub fn with_key(mut self) -> Self {
         self.0.credential = Some("a-hash".into());
         self
     }
 
-    /// It asks the same as this request.
+    /// It has the given fingerprint instead of one equal to its number.
     pub fn that_asks_as(mut self, number: u64) -> Self {
         self.1 = Some(Fingerprint(number));
         self
@@ -91,12 +91,12 @@
     pub upstreams_crash: bool,
     /// Whether trials are granted, each at the first candidate.
     pub grants_trials: bool,
-    /// Whether looks at upstreams get no answer yet.
+    /// Whether checks of upstreams remain unanswered.
     pub holds_back_looks: bool,
 }
 
 impl Harness {
-    /// A router that has seen all its replicas complete and idle.
+    /// Creates a router that has received reports of all its replicas as complete and idle.
     pub fn with_replicas(replicas: u64) -> Self {
         let settings = RouterSettings::default();
         let mut harness = Self {
@@ -118,7 +118,7 @@
         harness
     }
 
-    /// Time passes, with reports of idle, complete replicas.
+    /// Advances time, with reports of complete, idle replicas.
     pub fn advance(&mut self, time: Duration) {
         self.pass(time, true);
     }
@@ -127,7 +127,7 @@
         self.pass(time, false);
     }
 
-    /// Only so many replicas are left in the topology.
+    /// Reduces the topology to the first `replicas` replicas.
     pub fn keep(&mut self, replicas: u64) {
         self.replicas = replicas;
         let specs = (0..replicas).map(spec).collect();
@@ -135,7 +135,7 @@
             .set_topology(Topology::from([(target(), specs)]));
     }
 
-    /// No replica is complete any more.
+    /// Fails a report of every replica, so that none counts as complete.
     pub fn lose_all(&mut self) {
         for number in 0..self.replicas {
             let mut out = Vec::new();
@@ -148,7 +148,7 @@
         self.replicas = 0;
     }
 
-    /// A replica says that it is complete, by a look at its members of that age.
+    /// Reports a replica as complete, based on a member check of this age.
     pub fn report_with_age(&mut self, number: u64, age: Duration) {
         let mut status = idle(number);
         status.members_age_ms = age.as_millis() as u64;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Submits a request; says where it went, if it went anywhere at once.
+    /// Submits a request. Returns the upstream of its first attempt if it was sent immediately.
     pub fn submit(&mut self, number: u64, request: RequestBuilder) -> Option<UpstreamId> {
         let mut meta = request.0;
         meta.deadline = self.now + Duration::from_secs(60);
@@ -191,7 +191,7 @@
         self.upstream_of(number)
     }
 
-    /// Sends requests until one has to wait.
+    /// Submits requests until one is not sent immediately.
     pub fn fill(&mut self) {
         let mut number = 1_000;
         while self.submit(number, request()).is_some() {
@@ -199,12 +199,12 @@
         }
     }
 
-    /// The last attempt of a request ends, if one runs.
+    /// Ends the last attempt of a request, if there is one.
     pub fn end(&mut self, number: u64, end: AttemptEnd) {
         self.end_with_attempt_of(number, number, end);
     }
 
-    /// A request is told of the end of another one's attempt.
+    /// Reports the end of the last attempt of `other` as the end of an attempt of `number`.
     pub fn end_with_attempt_of(&mut self, number: u64, other: u64, end: AttemptEnd) {
         let Some(attempt) = self.sent.get(&other).and_then(|sent| sent.last()) else {
             return;
@@ -216,7 +216,7 @@
         self.take(out);
     }
 
-    /// Another daemon had a whole answer to what this asks.
+    /// Reports that another daemon received a complete answer to a request with this fingerprint.
     pub fn learn_completion(&mut self, asks: u64) {
         let completion = Completion {
             fingerprint: Fingerprint(asks),
@@ -231,21 +231,21 @@
         self.take(out);
     }
 
-    /// The caller of a request leaves.
+    /// Cancels a request, as its caller left.
     pub fn leave(&mut self, number: u64) {
         let mut out = Vec::new();
         self.router.cancel(RequestId(number), &mut out);
         self.take(out);
     }
 
-    /// Nobody holds any key any more.
+    /// Revokes all API keys.
     pub fn take_keys_away(&mut self) {
         let mut out = Vec::new();
         self.router.recheck_keys(|_| false, &mut out);
         self.take(out);
     }
 
-    /// Upstreams that are out of use for their failures.
+    /// Upstreams that are ejected now.
     pub fn ejected(&self) -> Vec<UpstreamId> {
         let upstreams = self.router.upstreams();
         upstreams
--- a/shalehinge/tests/signal_fuzz.rs
+++ b/shalehinge/tests/signal_fuzz.rs
@@ -1,4 +1,4 @@
-//! Random series of answers, against an oracle of what each upstream asked for.
+//! Random sequences of answers, checked against an oracle of what each upstream requested.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -20,32 +20,32 @@
 };
 use shalehinge::settings::router::RouterSettings;
 
-/// Sequences run by the normal test command.
+/// Number of sequences run by the normal test command.
 const SEEDS: u64 = 300;
 const STEPS: usize = 250;
 const TICK: Duration = Duration::from_millis(50);
-/// Requests that come at once at the end of a sequence.
+/// Number of requests submitted at once at the end of a sequence.
 const ROUND: usize = 30;
-/// After this no cooldown of a sequence is left.
+/// The longest cooldown that a sequence can contain.
 const LONGEST_COOLDOWN: Duration = Duration::from_millis(255 * 40);
 
 /// One step of a sequence.
 #[derive(Clone, Copy, Debug, bolero::TypeGenerator)]
 enum Step {
-    /// A caller comes; even numbers may be repeated, every third one is a stream that may go on
-    /// elsewhere.
+    /// Submits a request. Multiples of 2 may be repeated; multiples of 3 are streams that another
+    /// upstream can continue.
     Submit(u8),
-    /// So many ticks pass.
+    /// Waits for this many ticks, modulo 16.
     Wait(u8),
-    /// A running attempt is answered whole.
+    /// Completes a running attempt.
     Complete(u8),
-    /// A running attempt brings output.
+    /// Produces output of a running attempt.
     Output(u8),
-    /// A running attempt breaks off.
+    /// Loses a running attempt.
     Lose(u8),
-    /// A running attempt is turned away, with a cooldown of 40 ms times this.
+    /// Refuses a running attempt, with a cooldown of 40 ms times the second value.
     TurnAway(u8, u8),
-    /// A running attempt is answered whole by an upstream that is leaving.
+    /// Completes a running attempt, with an answer that announces that the upstream is leaving.
     Leave(u8),
 }
 
@@ -163,7 +163,7 @@
                 RouterAction::Send(attempt) => self.send(attempt),
                 RouterAction::Abandon(id) => self.running.retain(|_, attempt| attempt.id != id),
                 RouterAction::Answer { request, outcome } => {
-                    assert!(self.open.remove(&request), "{request:?} ends twice");
+                    assert!(self.open.remove(&request), "{request:?} was answered twice");
                     self.running.remove(&request);
                     self.outcomes.push(outcome);
                 }
@@ -185,8 +185,11 @@
     fn send(&mut self, attempt: Attempt) {
         let id = &attempt.upstream;
         let until = self.cooldowns.get(id).copied().unwrap_or(Timestamp::ZERO);
-        assert!(self.now >= until, "{id} gets a request in its cooldown");
-        assert!(!self.leaving.contains(id), "{id} is leaving");
+        assert!(self.now >= until, "{id} got a request during its cooldown");
+        assert!(
+            !self.leaving.contains(id),
+            "{id} got a request although it is leaving"
+        );
         self.running.insert(attempt.request, attempt);
     }
 
@@ -242,15 +245,16 @@
         self.end(&attempt, signal, AttemptEnd::Refused);
     }
 
-    /// All that runs is answered, all cooldowns end, and each upstream that stays is used again.
+    /// Completes all running attempts, lets all cooldowns end, and asserts that every upstream
+    /// that is not leaving is used again.
     fn heal(&mut self) {
         let whole = AttemptEnd::Completed { output_tokens: 8 };
         let mut used = BTreeSet::new();
         self.wait(LONGEST_COOLDOWN.as_millis() as usize / TICK.as_millis() as usize);
-        // Ejections of upstreams that broke off last for up to a minute.
+        // Ejections of upstreams that lost attempts last up to a minute.
         self.wait(60 * 20);
         for _ in 0..20 {
-            // More at once than one upstream takes.
+            // More requests at once than one upstream can run.
             (0..ROUND).for_each(|_| self.submit(2));
             used.extend(
                 self.running
@@ -263,8 +267,12 @@
             }
             self.wait(1);
         }
-        assert!(self.open.is_empty(), "{:?} are not answered", self.open);
-        assert_eq!(used.len(), 5 - self.leaving.len(), "all that stay are used");
+        assert!(self.open.is_empty(), "{:?} were not answered", self.open);
+        assert_eq!(
+            used.len(),
+            5 - self.leaving.len(),
+            "every remaining upstream must be used"
+        );
     }
 }
 
@@ -296,7 +304,7 @@
 fn no_answer_leads_to_a_request_in_a_cooldown_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..5000".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
-    let number = |text: &str| text.parse::<u64>().expect("a whole number");
+    let number = |text: &str| text.parse::<u64>().expect("an integer");
     run_all(number(from)..number(to));
 }
 
--- a/shalehinge/tests/upstream_lives.rs
+++ b/shalehinge/tests/upstream_lives.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under its name is as one that was never seen.
+//! An engine that restarts under the same name is treated as a new upstream.
 
 use std::time::Duration;
 
@@ -44,13 +44,20 @@
     upstream.on_sent(now, Work::default());
     upstream.outlier.eject(now, &settings);
     upstream.update(started(1_000));
-    assert!(upstream.outlier.is_ejected(now), "the same life");
+    assert!(
+        upstream.outlier.is_ejected(now),
+        "the engine did not restart"
+    );
     upstream.update(started(900));
     assert!(
         !upstream.outlier.is_ejected(now),
-        "another one, by a clock that jumped back"
+        "the engine restarted, with a clock that was set back"
+    );
+    assert_eq!(
+        upstream.in_flight(),
+        1,
+        "requests in flight must stay counted"
     );
-    assert_eq!(upstream.in_flight(), 1, "what is under way still ends");
 }
 
 #[test]
