--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -111,13 +111,13 @@
     ),
     "one-request-at-a-time-after-a-cooldown": (
         CORE + "router/cooldown.rs",
-        "!(self.is_recovering && self.is_tried)",
-        "!(self.is_recovering && self.is_tried && self.is_unreadable)",
+        "!(self.is_recovering && self.has_probe_in_flight)",
+        "!(self.is_recovering && self.has_probe_in_flight && self.is_unreadable)",
         "signal", "one_request_at_a_time",
     ),
     "a-request-that-is-turned-away-again-leaves-room": (
         CORE + "router/cooldown.rs",
-        "        self.is_recovering = true;\n        self.is_tried = false;\n",
+        "        self.is_recovering = true;\n        self.has_probe_in_flight = false;\n",
         "        self.is_recovering = true;\n",
         "signal_fuzz", "fixed_sequences",
     ),
@@ -129,8 +129,8 @@
     ),
     "a-cooldown-of-a-day-is-tested": (
         CORE + "router/cooldown.rs",
-        "const MOST_TESTS: u32 = 2;",
-        "const MOST_TESTS: u32 = 0;",
+        "const MAX_PROBES: u32 = 2;",
+        "const MAX_PROBES: u32 = 0;",
         "signal", "of_a_day",
     ),
     "what-is-no-number-of-seconds-makes-no-cooldown": (
@@ -148,7 +148,7 @@
     "callers-get-the-true-wait": (
         CORE + "router/refusal.rs",
         "        if unavailable_for > longest_wait {",
-        "        if unavailable_for > longest_wait + MOST_RETRY_AFTER {",
+        "        if unavailable_for > longest_wait + MAX_RETRY_AFTER {",
         "cooldowns", "the_true_wait",
     ),
     "a-standstill-is-no-slow-line": (
@@ -165,13 +165,13 @@
     ),
     "an-instance-that-left-is-asked-again": (
         CORE + "router/leaving.rs",
-        "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR)",
-        "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR * 60)",
+        ".is_some_and(|at| now.since(at) < LEAVING_RETENTION)",
+        ".is_some_and(|at| now.since(at) < LEAVING_RETENTION * 60)",
         "signal", "asked_again_after_a_minute",
     ),
     "a-limited-upstream-needs-a-permit": (
-        CORE + "router/named.rs",
-        "self.rate.is_none() || (self.permits.left > 0 && now < self.permits.until)",
+        CORE + "router/limit_state.rs",
+        "self.rate.is_none() || (self.permits.remaining > 0 && now < self.permits.until)",
         "self.rate.is_none() || now >= Timestamp::ZERO",
         "limited_upstreams", "from_nine_daemons",
     ),
@@ -212,7 +212,7 @@
         "limited_upstreams", "any_rate_and_size",
     ),
     "an-answer-from-before-a-limit-ends-nothing": (
-        CORE + "router/named.rs",
+        CORE + "router/limit_state.rs",
         "NamedLimit::None => self.set(sent_at, None),",
         "NamedLimit::None => self.set(now.max(sent_at), None),",
         "named_limit", "from_before_a_limit",
@@ -225,7 +225,7 @@
     ),
     "a-suspect-is-tried": (
         CORE + "router/refusal.rs",
-        "Evidence::Suspected => held.last_lost_at + SETTLING,",
+        "Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,",
         "Evidence::Suspected => held.last_lost_at + settings.quarantine_for,",
         "quarantine_harmless", "are_served_again_soon",
     ),
@@ -243,12 +243,12 @@
     ),
     "a-trial-explains-its-crash": (
         CORE + "router/suspects.rs",
-        "let tried = losses.iter().find(|loss| self.was_tried(loss)).cloned();",
-        "let tried: Option<Loss> = None;",
+        "let on_trial = losses.iter().find(|loss| self.was_on_trial(loss)).cloned();",
+        "let on_trial: Option<Loss> = None;",
         "router", "proves_the_request",
     ),
     "nothing-waits-behind-a-suspect": (
-        CORE + "router/trying.rs",
+        CORE + "router/trial.rs",
         "            } else if now >= until {",
         "            } else if now >= until + Duration::from_secs(60) {",
         "router", "come_back_soon",
@@ -267,8 +267,8 @@
     ),
     "waits-for-the-check": (
         CORE + "router/dispatch.rs",
-        "outcome if self.awaits_check(&asked, &running.upstream) => {",
-        "outcome if self.awaits_check(&asked, &running.upstream) && false => {",
+        "outcome if self.awaits_check(&subject, &running.upstream) => {",
+        "outcome if self.awaits_check(&subject, &running.upstream) && false => {",
         "router", "lost_twice",
     ),
     "a-failure-may-be-the-requests": (
@@ -279,8 +279,8 @@
     ),
     "a-completion-shows-failing-upstreams": (
         CORE + "router/failing.rs",
-        "        self.records.remove(&fingerprint);\n    }\n\n    fn remember",
-        "        let _ = fingerprint;\n    }\n\n    fn remember",
+        "        self.records.remove(&fingerprint);\n    }\n\n    fn insert",
+        "        let _ = fingerprint;\n    }\n\n    fn insert",
         "failing_requests", "two_upstreams",
     ),
     "trials-of-a-model-wait": (
@@ -339,8 +339,8 @@
     ),
     "an-answer-is-an-objection": (
         CORE + "router/quarantine.rs",
-        "if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at) {",
-        "if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at).filter(|_| false) {",
+        "if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at) {",
+        "if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at).filter(|_| false) {",
         "quarantine", "objects_to",
     ),
     "quarantine-is-told-again": (
@@ -519,7 +519,7 @@
     ),
     "earlier-attempt": (
         CORE + "router/target.rs",
-        "Outcome::NotRun { .. } => self.earlier.unwrap_or(last),",
+        "Outcome::NotRun { .. } => self.earlier_outcome.unwrap_or(last),",
         "Outcome::NotRun { .. } => last,",
         "always", "fixed",
     ),
@@ -531,8 +531,8 @@
     ),
     "not-repeatable": (
         CORE + "router/dispatch.rs",
-        "pending.meta.repeatable && is_whole",
-        "is_whole",
+        "pending.meta.repeatable && is_restartable",
+        "is_restartable",
         "always", "fixed",
     ),
     "claim": (
@@ -717,7 +717,7 @@
     ),
     "route-attempts": (
         CORE + "router/dispatch.rs",
-        "most_runs.is_none_or(|most| pending.runs < most)", "{ let _ = most_runs; true }",
+        "max_runs.is_none_or(|limit| pending.possible_runs < limit)", "{ let _ = max_runs; true }",
         "listed_routing", "no_more_upstreams",
     ),
     "keys-confirmed": (
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -160,7 +160,7 @@
         let mut actions = Vec::new();
         for report in &limits.in_force {
             self.router
-                .learn_limit(now, now, report, &mut self.rng, &mut actions);
+                .apply_reported_limit(now, now, report, &mut self.rng, &mut actions);
         }
         for grant in &limits.granted {
             self.router
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -374,7 +374,8 @@
 
     fn lose(&mut self, now: Timestamp, replica: &ReplicaId, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
-        self.router.lose(now, replica, &mut self.rng, &mut actions);
+        self.router
+            .on_replica_lost(now, replica, &mut self.rng, &mut actions);
         self.router_actions(now, actions, out);
     }
 
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -13,7 +13,7 @@
     Action, CompletionReport, LossReport, Notice, QuarantineReport, QuarantinedReport,
 };
 use crate::core::membership::Owner;
-use crate::core::router::quarantine::{Completion, Evidence, Loss, QuarantineNews, Quarantined};
+use crate::core::router::quarantine::{Completion, Evidence, Loss, QuarantineUpdate, Quarantined};
 use crate::core::router::request::UpstreamId;
 use crate::core::trials::{TrialGrant, TrialRequest};
 use crate::core::types::{Address, FailureDomain, Timestamp};
@@ -39,7 +39,7 @@
     }
 }
 
-fn report(now: Timestamp, news: QuarantineNews) -> QuarantineReport {
+fn report(now: Timestamp, news: QuarantineUpdate) -> QuarantineReport {
     let losses = news.losses.into_iter().map(|loss| LossReport {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -60,7 +60,7 @@
 
 /// What a report says in the time of this daemon. What is older than its start counts from
 /// there.
-fn news_of(now: Timestamp, report: QuarantineReport) -> QuarantineNews {
+fn news_of(now: Timestamp, report: QuarantineReport) -> QuarantineUpdate {
     let losses = report.losses.into_iter().map(|loss| Loss {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -80,7 +80,7 @@
         fingerprint: completion.fingerprint,
         at: ago(now, completion.ms_ago),
     });
-    QuarantineNews {
+    QuarantineUpdate {
         losses: losses.collect(),
         quarantined: quarantined.collect(),
         completions: completions.collect(),
@@ -90,13 +90,13 @@
 impl Daemon {
     /// Tells peers what is new.
     pub(super) fn tell_quarantine(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let news = self.router.take_quarantine_news(now);
+        let news = self.router.take_quarantine_update(now);
         if news.is_empty() {
             return;
         }
         self.end_trials(&news);
         let losses = news.losses.clone();
-        let for_all = QuarantineNews {
+        let for_all = QuarantineUpdate {
             losses: Vec::new(),
             ..news
         };
@@ -105,9 +105,9 @@
             self.send_quarantine(peers.collect(), report(now, for_all), out);
         }
         if !losses.is_empty() {
-            let for_witnesses = QuarantineNews {
+            let for_witnesses = QuarantineUpdate {
                 losses,
-                ..QuarantineNews::default()
+                ..QuarantineUpdate::default()
             };
             self.send_quarantine(self.witnesses(now), report(now, for_witnesses), out);
         }
@@ -204,7 +204,7 @@
     }
 
     /// Ends the trials of what was cleared or proven.
-    fn end_trials(&mut self, news: &QuarantineNews) {
+    fn end_trials(&mut self, news: &QuarantineUpdate) {
         let proven = news.quarantined.iter();
         let proven = proven.filter(|held| held.evidence == Evidence::Proven);
         let ended = proven.map(|held| held.fingerprint);
@@ -248,7 +248,7 @@
         let news = news_of(told_at, report);
         self.end_trials(&news);
         let mut actions = Vec::new();
-        self.router.learn_quarantine(news, &mut actions);
+        self.router.apply_quarantine_update(news, &mut actions);
         self.router_actions(now, actions, out);
     }
 
--- a/shalehinge/src/core/daemon/requests.rs
+++ b/shalehinge/src/core/daemon/requests.rs
@@ -152,8 +152,8 @@
 
     pub(super) fn tick_router(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let sharers = self.membership.fleet_size(now);
-        self.router.set_sharers(sharers);
-        self.router.set_keys_until(self.keys_valid_until());
+        self.router.set_daemon_count(sharers);
+        self.router.set_keys_valid_until(self.keys_valid_until());
         for spec in self.router.reports_wanted(now) {
             out.push(Action::AskStatus {
                 purpose: StatusPurpose::Report(spec.id),
@@ -179,11 +179,11 @@
                 RouterAction::CheckUpstream { upstream, address } => {
                     out.push(Action::CheckUpstream { upstream, address });
                 }
-                RouterAction::TellLimit(report) => self.tell_limit(now, report, out),
-                RouterAction::AskPermits { known, wanted } => {
+                RouterAction::ReportLimit(report) => self.tell_limit(now, report, out),
+                RouterAction::RequestPermits { known, wanted } => {
                     self.ask_permits(now, PermitRequest { known, wanted }, out);
                 }
-                RouterAction::AskTrial(request) => self.ask_trial(now, request, out),
+                RouterAction::RequestTrial(request) => self.ask_trial(now, request, out),
                 RouterAction::Log(text) => log(out, Part::Route, text),
                 RouterAction::Answer { request, outcome } => {
                     let text = format!("request {} ends: {outcome:?}", request.0);
--- a/shalehinge/src/core/router/availability.rs
+++ b/shalehinge/src/core/router/availability.rs
@@ -36,7 +36,7 @@
         if !self.is_complete(now) {
             return Availability::Unproven;
         }
-        if let Some(until) = self.held_back_until(now) {
+        if let Some(until) = self.unavailable_until(now) {
             return Availability::From(until);
         }
         if self.is_stalled() {
--- a/shalehinge/src/core/router/capacity.rs
+++ b/shalehinge/src/core/router/capacity.rs
@@ -5,26 +5,26 @@
 use crate::core::types::Timestamp;
 
 /// How long the highest observed number of upstreams is retained as the expected number.
-const REMEMBERED: Duration = Duration::from_secs(10);
+const RETENTION: Duration = Duration::from_secs(10);
 
 /// The highest number of upstreams that a target had recently.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualCapacity {
-    most: usize,
+pub struct RecentCapacity {
+    max_present: usize,
     seen_at: Timestamp,
 }
 
-impl UsualCapacity {
+impl RecentCapacity {
     /// Records the number of upstreams that are present now.
-    pub fn note(&mut self, now: Timestamp, present: usize) {
-        if present >= self.most || now.since(self.seen_at) > REMEMBERED {
-            self.most = present;
+    pub fn record(&mut self, now: Timestamp, present: usize) {
+        if present >= self.max_present || now.since(self.seen_at) > RETENTION {
+            self.max_present = present;
             self.seen_at = now;
         }
     }
 
     /// Whether fewer upstreams are present than recently.
-    pub fn is_short(&self, present: usize) -> bool {
-        present < self.most
+    pub fn is_below_recent(&self, present: usize) -> bool {
+        present < self.max_present
     }
 }
--- a/shalehinge/src/core/router/choose.rs
+++ b/shalehinge/src/core/router/choose.rs
@@ -18,11 +18,11 @@
 use super::upstream::{Upstream, Work};
 
 /// Number of randomly sampled upstreams that are compared.
-const SAMPLE: usize = 5;
+const SAMPLE_SIZE: usize = 5;
 /// Score of a prompt that is entirely uncached, relative to a fully loaded upstream.
 const PREFIX_WEIGHT: f64 = 0.4;
 /// Upper bound of the slowness factor.
-const MOST_SLOWNESS: f64 = 5.0;
+const MAX_SLOWNESS: f64 = 5.0;
 /// Score per second of remote penalty, relative to a fully loaded upstream.
 const DISTANCE_WEIGHT: f64 = 1.0;
 
@@ -69,9 +69,9 @@
     /// Estimated cost of the request.
     pub work: Work,
     /// Upstreams to exclude because the request was already sent to them.
-    pub tried: &'a [UpstreamId],
+    pub excluded: &'a [UpstreamId],
     /// Number of requests sent to this target so far, used for round-robin.
-    pub turn: usize,
+    pub sent_count: usize,
 }
 
 /// Result of the selection.
@@ -119,7 +119,7 @@
     }
     match context.settings.policy {
         ChoicePolicy::RoundRobin => {
-            let index = open[context.turn % open.len()];
+            let index = open[context.sent_count % open.len()];
             Some(Choice::without_figures(index))
         }
         ChoicePolicy::LeastInFlight => {
@@ -133,17 +133,17 @@
                 .filter(|index| upstreams[*index].in_flight() == fewest);
             ties.choose(rng).map(Choice::without_figures)
         }
-        ChoicePolicy::Score => by_score(upstreams, open, context, rng),
+        ChoicePolicy::Score => pick_by_score(upstreams, open, context, rng),
     }
 }
 
 fn is_open(upstream: &Upstream, context: &ChoiceContext<'_>) -> bool {
     upstream.is_eligible(context.now)
         && upstream.has_room(context.work, context.settings)
-        && !context.tried.contains(&upstream.spec.id)
+        && !context.excluded.contains(&upstream.spec.id)
 }
 
-fn by_score(
+fn pick_by_score(
     upstreams: &[Upstream],
     open: &[usize],
     context: &ChoiceContext<'_>,
@@ -156,7 +156,7 @@
         .sum::<f64>()
         / open.len() as f64;
     let typical_interval = typical_interval(upstreams);
-    let mut picked = open.iter().copied().choose_multiple(rng, SAMPLE);
+    let mut picked = open.iter().copied().choose_multiple(rng, SAMPLE_SIZE);
     if settings.prefix_affinity {
         let holder = open
             .iter()
@@ -203,14 +203,14 @@
 ) -> Candidate {
     let settings = context.settings;
     let load = upstream.load(settings);
-    let held = upstream.prefixes.matching_blocks(context.prefix);
+    let cached_blocks = upstream.prefixes.matching_blocks(context.prefix);
     // Lower bound of the mean load, so that prefix affinity also takes effect when the target is
     // nearly idle.
-    const IDLE_LOAD: f64 = 0.2;
-    let bound = settings.affinity_load_bound * mean_load.max(IDLE_LOAD);
-    let counts = settings.prefix_affinity && load <= bound && !context.prefix.is_empty();
-    let anew = if counts {
-        1.0 - held as f64 / context.prefix.len() as f64
+    const MIN_MEAN_LOAD: f64 = 0.2;
+    let bound = settings.affinity_load_bound * mean_load.max(MIN_MEAN_LOAD);
+    let uses_affinity = settings.prefix_affinity && load <= bound && !context.prefix.is_empty();
+    let uncached_fraction = if uses_affinity {
+        1.0 - cached_blocks as f64 / context.prefix.len() as f64
     } else {
         1.0
     };
@@ -223,18 +223,18 @@
     Candidate {
         upstream: upstream.spec.id.clone(),
         load,
-        prefix_blocks: held,
-        score: slowness * (load + PREFIX_WEIGHT * anew) + distance,
+        prefix_blocks: cached_blocks,
+        score: slowness * (load + PREFIX_WEIGHT * uncached_fraction) + distance,
     }
 }
 
-/// The upstream's token interval relative to the typical one, between 1 and [`MOST_SLOWNESS`]; 1
+/// The upstream's token interval relative to the typical one, between 1 and [`MAX_SLOWNESS`]; 1
 /// if unknown.
 fn slowness(upstream: &Upstream, typical: Option<Duration>) -> f64 {
     let (Some(own), Some(typical)) = (upstream.token_interval.get(), typical) else {
         return 1.0;
     };
-    (own.as_secs_f64() / typical.as_secs_f64().max(f64::EPSILON)).clamp(1.0, MOST_SLOWNESS)
+    (own.as_secs_f64() / typical.as_secs_f64().max(f64::EPSILON)).clamp(1.0, MAX_SLOWNESS)
 }
 
 /// The median interval between two output tokens over all upstreams; `None` if no upstream has
--- a/shalehinge/src/core/router/cooldown.rs
+++ b/shalehinge/src/core/router/cooldown.rs
@@ -10,9 +10,9 @@
 use crate::core::types::Timestamp;
 
 /// Time without a request after which a probe checks whether the cooldown is still needed.
-const TEST_AFTER: Duration = Duration::from_secs(600);
+const PROBE_INTERVAL: Duration = Duration::from_secs(600);
 /// Maximum number of probes per cooldown.
-const MOST_TESTS: u32 = 2;
+const MAX_PROBES: u32 = 2;
 
 /// A change to report in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,9 +34,9 @@
     /// No request sent since the cooldown was requested has produced output yet.
     is_recovering: bool,
     /// A request sent since the cooldown was requested is in flight.
-    is_tried: bool,
-    tests_left: u32,
-    next_test_at: Timestamp,
+    has_probe_in_flight: bool,
+    probes_left: u32,
+    next_probe_at: Timestamp,
     is_unreadable: bool,
 }
 
@@ -48,8 +48,8 @@
 
     /// The time before which no request may be sent; `None` if one may be sent now.
     pub fn blocked_until(&self, now: Timestamp) -> Option<Timestamp> {
-        let until = if self.tests_left > 0 {
-            self.until.min(self.next_test_at)
+        let until = if self.probes_left > 0 {
+            self.until.min(self.next_probe_at)
         } else {
             self.until
         };
@@ -59,7 +59,7 @@
     /// Whether the upstream may run one more request, as far as the cooldown is concerned: while
     /// it recovers, it runs one at a time.
     pub fn has_room(&self) -> bool {
-        !(self.is_recovering && self.is_tried)
+        !(self.is_recovering && self.has_probe_in_flight)
     }
 
     /// Handles the cooldown requested by an answer. A shorter cooldown never ends an earlier one
@@ -89,23 +89,23 @@
         let is_new = !self.is_in_force || now >= self.until;
         self.until = self.until.max(now + time);
         self.requested_at = now;
-        self.next_test_at = now + TEST_AFTER;
+        self.next_probe_at = now + PROBE_INTERVAL;
         self.is_recovering = true;
-        self.is_tried = false;
+        self.has_probe_in_flight = false;
         self.is_in_force = true;
         if !is_new {
             return None;
         }
-        self.tests_left = MOST_TESTS;
+        self.probes_left = MAX_PROBES;
         Some(CooldownChange::Begins(time))
     }
 
     /// Records that a request was sent to the upstream.
     pub fn on_sent(&mut self, now: Timestamp) {
-        self.is_tried = self.is_recovering;
+        self.has_probe_in_flight = self.is_recovering;
         if now < self.until {
-            self.tests_left = self.tests_left.saturating_sub(1);
-            self.next_test_at = now + TEST_AFTER;
+            self.probes_left = self.probes_left.saturating_sub(1);
+            self.next_probe_at = now + PROBE_INTERVAL;
         }
     }
 
@@ -121,7 +121,7 @@
     /// Records that a request sent at `sent_at` has ended.
     pub fn on_ended(&mut self, sent_at: Timestamp) {
         if sent_at > self.requested_at {
-            self.is_tried = false;
+            self.has_probe_in_flight = false;
         }
     }
 
--- a/shalehinge/src/core/router/dispatch.rs
+++ b/shalehinge/src/core/router/dispatch.rs
@@ -14,25 +14,25 @@
 use crate::settings::router::RouterSettings;
 
 use super::choose::Choice;
-use super::failing::Fault;
-use super::named::Urgency;
+use super::failing::FailureCause;
+use super::limit_state::PermitUrgency;
 use super::quarantine::Quarantine;
-use super::refusal::{Waiting, refused, unavailable_refusal, waiting_refusal};
+use super::refusal::{QueuedContext, queued_refusal, refused, unavailable_refusal};
 use super::request::{
     Attempt, AttemptEnd, NotRunReason, Outcome, RequestMeta, Target, UnknownReason, UpstreamId,
 };
 use super::retry_budget::RetryBudget;
-use super::suspects::{Asked, Unexplained};
+use super::suspects::{PendingCheck, RequestSubject};
 use super::target::{FIRST_SERVER_ERROR, Pending, TargetState};
 use super::topology::Topology;
-use super::trying::{NO_TRIAL, TrialState};
+use super::trial::{NO_TRIAL, TrialState};
 use super::upstream::Upstream;
 
 /// Fraction of its share of the fleet-wide retry burst that a daemon uses, as not every daemon
 /// knows of all others.
-const SAFE_BURST: f64 = 0.7;
+const BURST_FRACTION: f64 = 0.7;
 /// Maximum number of candidates included in a log line.
-const LOGGED_CANDIDATES: usize = 4;
+const MAX_LOGGED_CANDIDATES: usize = 4;
 
 /// An action for the caller of the router to perform.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,16 +56,16 @@
         address: Address,
     },
     /// Report a limit named by an upstream's answer to the limit's owner.
-    TellLimit(LimitReport),
+    ReportLimit(LimitReport),
     /// Request permits from a limit's owner.
-    AskPermits {
+    RequestPermits {
         /// What this daemon knows of the limit.
         known: LimitReport,
         /// Number of permits that this daemon can use soon.
         wanted: u32,
     },
     /// Request a trial of a suspected request from the owner of the target's trials.
-    AskTrial(TrialRequest),
+    RequestTrial(TrialRequest),
     /// Write a line to the log of routing decisions.
     Log(String),
 }
@@ -79,14 +79,14 @@
     pub(super) targets: BTreeMap<Target, TargetState>,
     pub(super) pending: BTreeMap<RequestId, Pending>,
     pub(super) retries: RetryBudget,
-    pub(super) sharers: usize,
+    pub(super) daemon_count: usize,
     pub(super) waiting: usize,
-    pub(super) keys_until: Option<Timestamp>,
+    pub(super) keys_valid_until: Option<Timestamp>,
     pub(super) quarantine: Quarantine,
     /// Lost attempts, by upstream, while it is being checked whether the upstream crashed.
-    pub(super) unexplained: BTreeMap<UpstreamId, Unexplained>,
+    pub(super) pending_checks: BTreeMap<UpstreamId, PendingCheck>,
     /// Upstreams at which suspected requests are or were tried by this daemon.
-    pub(super) tried: BTreeMap<Fingerprint, UpstreamId>,
+    pub(super) trial_upstreams: BTreeMap<Fingerprint, UpstreamId>,
     pub(super) ticked_at: Timestamp,
 }
 
@@ -104,27 +104,28 @@
             next_attempt: 1,
             targets: BTreeMap::new(),
             pending: BTreeMap::new(),
-            sharers: 1,
+            daemon_count: 1,
             waiting: 0,
-            keys_until: None,
+            keys_valid_until: None,
             quarantine: Quarantine::default(),
-            unexplained: BTreeMap::new(),
-            tried: BTreeMap::new(),
+            pending_checks: BTreeMap::new(),
+            trial_upstreams: BTreeMap::new(),
             ticked_at: Timestamp::ZERO,
         }
     }
 
     /// Sets the number of daemons that send to the same upstreams, at least 1.
-    pub fn set_sharers(&mut self, sharers: usize) {
-        self.sharers = sharers.max(1);
+    pub fn set_daemon_count(&mut self, daemon_count: usize) {
+        self.daemon_count = daemon_count.max(1);
         for state in self.targets.values_mut() {
             for upstream in &mut state.upstreams {
-                upstream.set_sharers(self.sharers);
+                upstream.set_daemon_count(self.daemon_count);
             }
         }
         if self.settings.retry_burst_is_shared {
-            let part = self.settings.retry_burst * SAFE_BURST / self.sharers as f64;
-            self.retries.set_burst(part);
+            let share_of_burst =
+                self.settings.retry_burst * BURST_FRACTION / self.daemon_count as f64;
+            self.retries.set_burst(share_of_burst);
         }
     }
 
@@ -218,13 +219,13 @@
         let cost = state.cost_of(&meta);
         let pending = Pending {
             meta,
-            came_at: now,
+            arrived_at: now,
             attempts: 0,
-            runs: 0,
+            possible_runs: 0,
             tried: Vec::new(),
             running: None,
-            seen_output: false,
-            earlier: None,
+            has_output: false,
+            earlier_outcome: None,
             cost,
             share,
             trial: TrialState::None,
@@ -271,16 +272,16 @@
                 continue;
             };
             let service_time = state.service_time(&pending.meta);
-            let refusal = waiting_refusal(&Waiting {
+            let refusal = queued_refusal(&QueuedContext {
                 now,
                 settings: &self.settings,
                 quarantine: &self.quarantine,
-                keys_until: self.keys_until,
+                keys_valid_until: self.keys_valid_until,
                 service_time,
                 pending,
             });
             if let Some(refusal) = refusal {
-                self.end_next(target, refused(refusal), out);
+                self.answer_next(target, refused(refusal), out);
                 continue;
             }
             let selection = state.choose_for(now, &self.settings, pending, rng);
@@ -288,13 +289,13 @@
                 if matches!(pending.trial, TrialState::At(_)) {
                     // The upstream of the trial is gone. Requests queued behind it must not wait
                     // for it.
-                    self.end_next(target, NO_TRIAL, out);
+                    self.answer_next(target, NO_TRIAL, out);
                     continue;
                 }
                 let wait = state.unavailable_for(now).unwrap_or_default();
                 let time_left = pending.meta.deadline.since(now);
                 if let Some(refusal) = unavailable_refusal(&self.settings, wait, time_left) {
-                    self.end_next(target, refused(refusal), out);
+                    self.answer_next(target, refused(refusal), out);
                     continue;
                 }
                 state.ask_permits_for_all(now, out);
@@ -304,7 +305,7 @@
                 return;
             };
             if let Some(wanted) = selection.wanted {
-                out.extend(state.ask_permits(now, wanted, Urgency::Spare));
+                out.extend(state.ask_permits(now, wanted, PermitUrgency::Prefetch));
             }
             state.queue.pop();
             self.waiting -= 1;
@@ -316,15 +317,15 @@
             if pending.attempts == 0 {
                 self.retries.deposit();
             }
-            out.push(RouterAction::Log(decision(
+            out.push(RouterAction::Log(decision_line(
                 request, pending, state, &choice,
             )));
             let mut attempt = state.send(now, request, pending, id, choice.index);
             if matches!(pending.trial, TrialState::At(_)) {
-                self.tried
+                self.trial_upstreams
                     .insert(pending.meta.fingerprint, attempt.upstream.clone());
             }
-            if let (Some(until), Some(_)) = (self.keys_until, &pending.meta.credential) {
+            if let (Some(until), Some(_)) = (self.keys_valid_until, &pending.meta.credential) {
                 attempt.valid_until = attempt.valid_until.min(until);
             }
             out.push(RouterAction::Send(attempt));
@@ -332,7 +333,7 @@
     }
 
     /// Removes the next request from a target's queue and answers it.
-    fn end_next(&mut self, target: &Target, outcome: Outcome, out: &mut Vec<RouterAction>) {
+    fn answer_next(&mut self, target: &Target, outcome: Outcome, out: &mut Vec<RouterAction>) {
         let state = self.targets.get_mut(target);
         if let Some(next) = state.and_then(|state| state.queue.pop()) {
             self.waiting -= 1;
@@ -348,7 +349,7 @@
         let Some(running) = pending.running.as_mut().filter(|r| r.id == attempt) else {
             return;
         };
-        pending.seen_output = true;
+        pending.has_output = true;
         let is_first = running.first_at.replace(now).is_none();
         let sent_at = running.sent_at;
         let (target, upstream) = (pending.meta.target.clone(), running.upstream.clone());
@@ -397,13 +398,13 @@
             return;
         };
         let target = pending.meta.target.clone();
-        let asked = Asked {
+        let subject = RequestSubject {
             fingerprint: pending.meta.fingerprint,
             target: target.clone(),
         };
         if let Some(state) = self.targets.get_mut(&target) {
-            let fault = state.settle(now, &self.settings, pending, &running, end);
-            if let Some(Fault::OfRequest { failed_at }) = fault {
+            let cause = state.on_attempt_ended(now, &self.settings, pending, &running, end);
+            if let Some(FailureCause::Request { failed_at }) = cause {
                 out.push(RouterAction::Log(format!(
                     "request {} failed at {} as it did at {failed_at}; this failure is not counted against the upstream",
                     request.0, running.upstream
@@ -411,13 +412,13 @@
             }
         }
         if !matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused) {
-            pending.runs += 1;
+            pending.possible_runs += 1;
         }
-        self.learn_from(now, request, &asked, &running.upstream, end, out);
+        self.record_evidence(now, request, &subject, &running.upstream, end, out);
         match outcome_of(end, || self.retry_after(now, &target)) {
             Outcome::Completed => self.answer(request, Outcome::Completed, out),
-            outcome if self.awaits_check(&asked, &running.upstream) => {
-                self.wait_for_check(&running.upstream, request, outcome);
+            outcome if self.awaits_check(&subject, &running.upstream) => {
+                self.hold_until_checked(&running.upstream, request, outcome);
             }
             outcome => self.retry_or_answer(now, request, outcome, out),
         }
@@ -454,21 +455,21 @@
             Outcome::NotRun { .. } => true,
             Outcome::Failed { status } if status < FIRST_SERVER_ERROR => false,
             Outcome::Failed { .. } | Outcome::Unknown { .. } => {
-                let is_whole = !pending.seen_output || pending.meta.is_resumable;
-                pending.meta.repeatable && is_whole
+                let is_restartable = !pending.has_output || pending.meta.is_resumable;
+                pending.meta.repeatable && is_restartable
             }
             Outcome::Completed => false,
         };
         let in_time = now < pending.meta.deadline;
-        let most_runs = pending.meta.max_attempts;
-        let has_runs_left = most_runs.is_none_or(|most| pending.runs < most);
-        let has_tries_left = pending.attempts < self.settings.max_attempts;
+        let max_runs = pending.meta.max_attempts;
+        let has_runs_left = max_runs.is_none_or(|limit| pending.possible_runs < limit);
+        let has_attempts_left = pending.attempts < self.settings.max_attempts;
         let is_quarantined = self
             .quarantine
             .time_left(now, pending.meta.fingerprint, &self.settings)
             .is_some();
-        let again = is_safe && in_time && has_tries_left && has_runs_left && !is_quarantined;
-        if !again || !self.retries.withdraw() {
+        let may_retry = is_safe && in_time && has_attempts_left && has_runs_left && !is_quarantined;
+        if !may_retry || !self.retries.withdraw() {
             self.answer(request, outcome, out);
             return;
         }
@@ -478,7 +479,7 @@
         );
         out.push(RouterAction::Log(line));
         if !matches!(outcome, Outcome::NotRun { .. }) {
-            pending.earlier = Some(outcome);
+            pending.earlier_outcome = Some(outcome);
         }
         if let Some(state) = self.targets.get_mut(&pending.meta.target) {
             state.enqueue(request, pending, self.settings.timely_first);
@@ -540,7 +541,12 @@
 }
 
 /// Formats the log line of a routing decision.
-fn decision(request: RequestId, pending: &Pending, state: &TargetState, choice: &Choice) -> String {
+fn decision_line(
+    request: RequestId,
+    pending: &Pending,
+    state: &TargetState,
+    choice: &Choice,
+) -> String {
     let chosen = &state.upstreams[choice.index].spec.id;
     let mut line = format!(
         "request {} of {} to {chosen} for {}, attempt {}, {} queued;",
@@ -550,7 +556,7 @@
         pending.attempts + 1,
         state.queue.len(),
     );
-    for candidate in choice.compared.iter().take(LOGGED_CANDIDATES) {
+    for candidate in choice.compared.iter().take(MAX_LOGGED_CANDIDATES) {
         line.push_str(&format!(
             " {} load {:.2} prefix {} score {:.2}",
             candidate.upstream, candidate.load, candidate.prefix_blocks, candidate.score
--- a/shalehinge/src/core/router/estimate.rs
+++ b/shalehinge/src/core/router/estimate.rs
@@ -18,10 +18,10 @@
 }
 
 impl DrainRate {
-    /// Records that a request of `cost` tokens was sent at `now`; `line_waits` tells whether more
+    /// Records that a request of `cost` tokens was sent at `now`; `has_queued` tells whether more
     /// requests are queued.
-    pub fn record(&mut self, now: Timestamp, cost: f64, line_waits: bool) {
-        self.roll(now, line_waits);
+    pub fn record(&mut self, now: Timestamp, cost: f64, has_queued: bool) {
+        self.end_window(now, has_queued);
         self.window_tokens += cost;
     }
 
@@ -34,14 +34,14 @@
 
     /// Ends the window if it is long enough. If no requests are queued, the measured rate is only
     /// a lower bound, so it can raise the estimate but not lower it.
-    fn roll(&mut self, now: Timestamp, line_waits: bool) {
-        let passed = now.since(self.window_start);
-        if passed < WINDOW {
+    fn end_window(&mut self, now: Timestamp, has_queued: bool) {
+        let elapsed = now.since(self.window_start);
+        if elapsed < WINDOW {
             return;
         }
-        let rate = self.window_tokens / passed.as_secs_f64();
+        let rate = self.window_tokens / elapsed.as_secs_f64();
         let known = self.tokens_per_second;
-        if line_waits || known.is_some_and(|known| rate > known) {
+        if has_queued || known.is_some_and(|known| rate > known) {
             let smoothed = known.map_or(rate, |known| known + SMOOTHING * (rate - known));
             self.tokens_per_second = Some(smoothed);
         }
@@ -51,13 +51,13 @@
 
     /// Time to process `cost` tokens at a fraction of the rate, at most one hour; `None` if the
     /// rate is unknown.
-    pub fn wait(&self, cost: f64, part: f64) -> Option<Duration> {
-        const MOST: f64 = 3600.0;
-        let rate = self.tokens_per_second? * part;
+    pub fn wait(&self, cost: f64, fraction: f64) -> Option<Duration> {
+        const MAX_WAIT_SECONDS: f64 = 3600.0;
+        let rate = self.tokens_per_second? * fraction;
         if rate <= 0.0 {
             return None;
         }
-        Some(Duration::from_secs_f64((cost / rate).min(MOST)))
+        Some(Duration::from_secs_f64((cost / rate).min(MAX_WAIT_SECONDS)))
     }
 }
 
@@ -90,11 +90,15 @@
     /// Adds a sample.
     pub fn record(&mut self, value: Duration) {
         /// Weight of a sample below the estimate.
-        const FALL: f64 = 0.3;
+        const FALL_WEIGHT: f64 = 0.3;
         /// Weight of a sample above the estimate; about 70 samples move it halfway.
-        const RISE: f64 = 0.01;
+        const RISE_WEIGHT: f64 = 0.01;
         let estimate = self.0.map_or(value, |known| {
-            let weight = if value < known { FALL } else { RISE };
+            let weight = if value < known {
+                FALL_WEIGHT
+            } else {
+                RISE_WEIGHT
+            };
             known.mul_f64(1.0 - weight) + value.mul_f64(weight)
         });
         self.0 = Some(estimate);
--- a/shalehinge/src/core/router/expiry.rs
+++ b/shalehinge/src/core/router/expiry.rs
@@ -12,9 +12,9 @@
         self.end_cooldowns(now, out);
         self.expire_waiting(now, out);
         self.expire_running(now, out);
-        self.leave_stalled(now, out);
-        self.check_held(now, out);
-        self.note_capacity(now);
+        self.handle_stalled(now, out);
+        self.update_held(now, out);
+        self.record_capacity(now);
         self.dispatch_all(now, rng, out);
     }
 
@@ -33,10 +33,10 @@
         }
     }
 
-    fn note_capacity(&mut self, now: Timestamp) {
+    fn record_capacity(&mut self, now: Timestamp) {
         for state in self.targets.values_mut() {
             let present = state.present(now);
-            state.usual.note(now, present);
+            state.recent_capacity.record(now, present);
         }
     }
 
@@ -70,7 +70,7 @@
             let state = self.targets.get_mut(&pending.meta.target);
             if let (Some(state), Some(running)) = (state, &pending.running) {
                 state.release(running);
-                state.blame(now, &self.settings, &running.upstream);
+                state.record_upstream_failure(now, &self.settings, &running.upstream);
                 out.push(RouterAction::Abandon(running.id));
             }
             let reason = UnknownReason::DeadlinePassed;
--- a/shalehinge/src/core/router/failing.rs
+++ b/shalehinge/src/core/router/failing.rs
@@ -16,17 +16,17 @@
 /// How long a failure is remembered after the last failure of the same request. Equal to the
 /// longest ejection, so that a request that arrives less often ejects only one upstream at a
 /// time.
-const FAILURE_MEMORY: Duration = Duration::from_secs(60);
+const FAILURE_RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of requests to remember, at about 100 bytes each.
-const MOST_RECORDS: usize = 1_024;
+const MAX_RECORDS: usize = 1_024;
 
 /// What a failure is attributed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FailureCause {
     /// The upstream that returned it.
-    OfUpstream,
+    Upstream,
     /// The request itself.
-    OfRequest {
+    Request {
         /// Another upstream on which the same request failed.
         failed_at: UpstreamId,
     },
@@ -36,7 +36,7 @@
 struct Record {
     first_at: UpstreamId,
     /// Another upstream on which the request failed as well.
-    other: Option<UpstreamId>,
+    second_at: Option<UpstreamId>,
     last: Timestamp,
 }
 
@@ -48,39 +48,39 @@
 
 impl FailingRequests {
     /// Records that an upstream returned a failure, and attributes it.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         now: Timestamp,
         fingerprint: Fingerprint,
         upstream: &UpstreamId,
-    ) -> Fault {
-        self.forget_old(now);
+    ) -> FailureCause {
+        self.remove_expired(now);
         let Some(record) = self.records.get_mut(&fingerprint) else {
-            self.remember(now, fingerprint, upstream);
-            return Fault::OfUpstream;
+            self.insert(now, fingerprint, upstream);
+            return FailureCause::Upstream;
         };
         record.last = now;
         if record.first_at != *upstream {
-            record.other = Some(upstream.clone());
+            record.second_at = Some(upstream.clone());
             let failed_at = record.first_at.clone();
-            return Fault::OfRequest { failed_at };
+            return FailureCause::Request { failed_at };
         }
-        match &record.other {
-            Some(other) => Fault::OfRequest {
-                failed_at: other.clone(),
+        match &record.second_at {
+            Some(second_at) => FailureCause::Request {
+                failed_at: second_at.clone(),
             },
-            None => Fault::OfUpstream,
+            None => FailureCause::Upstream,
         }
     }
 
     /// Records that an upstream completed the request, so that its earlier failures are
     /// attributable to upstreams.
-    pub fn note_completion(&mut self, fingerprint: Fingerprint) {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint) {
         self.records.remove(&fingerprint);
     }
 
-    fn remember(&mut self, now: Timestamp, fingerprint: Fingerprint, upstream: &UpstreamId) {
-        if self.records.len() >= MOST_RECORDS {
+    fn insert(&mut self, now: Timestamp, fingerprint: Fingerprint, upstream: &UpstreamId) {
+        if self.records.len() >= MAX_RECORDS {
             let oldest = self.records.iter().min_by_key(|(_, record)| record.last);
             if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
                 self.records.remove(&oldest);
@@ -88,14 +88,14 @@
         }
         let record = Record {
             first_at: upstream.clone(),
-            other: None,
+            second_at: None,
             last: now,
         };
         self.records.insert(fingerprint, record);
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.records
-            .retain(|_, record| now.since(record.last) < FAILURE_MEMORY);
+            .retain(|_, record| now.since(record.last) < FAILURE_RETENTION);
     }
 }
--- a/shalehinge/src/core/router/keys.rs
+++ b/shalehinge/src/core/router/keys.rs
@@ -8,8 +8,8 @@
 
 impl Router {
     /// Sets the time until which requests that carry a key may be sent; `None` means no limit.
-    pub fn set_keys_until(&mut self, until: Option<Timestamp>) {
-        self.keys_until = until;
+    pub fn set_keys_valid_until(&mut self, until: Option<Timestamp>) {
+        self.keys_valid_until = until;
     }
 
     /// Ends waiting requests whose key has been revoked.
@@ -18,7 +18,7 @@
         is_held: impl Fn(&Credential) -> bool,
         out: &mut Vec<RouterAction>,
     ) {
-        let taken: Vec<RequestId> = self
+        let revoked: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.running.is_none())
@@ -31,14 +31,14 @@
             })
             .map(|(request, _)| *request)
             .collect();
-        for request in taken {
-            self.take_from_line(request);
+        for request in revoked {
+            self.remove_from_queue(request);
             self.answer(request, self.not_run(NotRunReason::KeyTakenAway), out);
         }
     }
 
     /// Removes a waiting request from its target's queue.
-    fn take_from_line(&mut self, request: RequestId) {
+    fn remove_from_queue(&mut self, request: RequestId) {
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
--- a/shalehinge/src/core/router/leaving.rs
+++ b/shalehinge/src/core/router/leaving.rs
@@ -8,22 +8,24 @@
 use super::request::UpstreamId;
 
 /// How long an upstream whose restart cannot be detected counts as leaving.
-const COUNTS_FOR: Duration = Duration::from_secs(60);
+const LEAVING_RETENTION: Duration = Duration::from_secs(60);
 
 /// What an upstream announced since it started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeavingState {
-    said_at: Option<Timestamp>,
+    announced_at: Option<Timestamp>,
     is_unreadable: bool,
 }
 
 impl LeavingState {
     /// Whether the upstream is leaving. This lasts until it restarts, which the host list or its
-    /// group number shows, or for [`COUNTS_FOR`] where nothing shows a restart.
+    /// group number shows, or for [`LEAVING_RETENTION`] where nothing shows a restart.
     pub fn is_leaving(&self, now: Timestamp, id: &UpstreamId) -> bool {
         match id {
-            UpstreamId::Replica(_) | UpstreamId::Host(..) => self.said_at.is_some(),
-            UpstreamId::Instance(..) => self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR),
+            UpstreamId::Replica(_) | UpstreamId::Host(..) => self.announced_at.is_some(),
+            UpstreamId::Instance(..) => self
+                .announced_at
+                .is_some_and(|at| now.since(at) < LEAVING_RETENTION),
         }
     }
 
@@ -32,7 +34,7 @@
     pub fn on_marked(&mut self, now: Timestamp, mark: &LeavingMark) -> bool {
         match mark {
             LeavingMark::Absent => false,
-            LeavingMark::Leaving => self.said_at.replace(now).is_none(),
+            LeavingMark::Leaving => self.announced_at.replace(now).is_none(),
             LeavingMark::Unreadable(_) => !std::mem::replace(&mut self.is_unreadable, true),
         }
     }
--- a/shalehinge/src/core/router/named.rs
+++ b/shalehinge/src/core/router/limit_state.rs
@@ -8,11 +8,11 @@
 use crate::core::types::Timestamp;
 
 /// Relative change of a limit, since the last logged value, below which nothing is logged.
-const LOGGED_CHANGE: f64 = 0.1;
+const MIN_LOGGED_CHANGE: f64 = 0.1;
 /// Longest interval between two permit requests while other upstreams can serve.
-const MOST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_REQUEST_INTERVAL: Duration = Duration::from_secs(8);
 /// Maximum number of permits per request.
-const MOST_WANTED: u32 = 64;
+const MAX_PERMITS_REQUESTED: u32 = 64;
 
 /// How a limit changed.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,33 +30,33 @@
 
 /// Whether requests are waiting that no other upstream can take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Urgency {
+pub enum PermitUrgency {
     /// Requests are waiting.
-    Waited,
+    Immediate,
     /// Other upstreams can take all requests.
-    Spare,
+    Prefetch,
 }
 
 /// Permits held, and the state of requests for more.
 #[derive(Clone, Copy, Debug)]
 struct Permits {
-    left: u32,
+    remaining: u32,
     until: Timestamp,
     asked_at: Option<Timestamp>,
     /// Interval after the last permit request, doubled while none are granted.
-    pause: Duration,
+    interval: Duration,
     /// Number of permits to request: increased when all were used, reduced when some expired.
-    wanted: u32,
+    request_size: u32,
 }
 
 impl Default for Permits {
     fn default() -> Self {
         Self {
-            left: 0,
+            remaining: 0,
             until: Timestamp::ZERO,
             asked_at: None,
-            pause: PERMIT_TIME,
-            wanted: 1,
+            interval: PERMIT_TIME,
+            request_size: 1,
         }
     }
 }
@@ -86,7 +86,7 @@
 
     /// Handles the limit in the answer to a request sent at `sent_at`. Returns a change to be
     /// logged.
-    pub fn hear(
+    pub fn on_answer(
         &mut self,
         now: Timestamp,
         sent_at: Timestamp,
@@ -123,7 +123,7 @@
             (Some(_), Some(rate)) => {
                 let logged = self.logged.unwrap_or(rate);
                 let change = (logged.get() - rate.get()).abs();
-                if change <= logged.get() * LOGGED_CHANGE {
+                if change <= logged.get() * MIN_LOGGED_CHANGE {
                     return None;
                 }
                 self.logged = Some(rate);
@@ -134,7 +134,7 @@
 
     /// Whether a request may be sent now.
     pub fn may_send(&self, now: Timestamp) -> bool {
-        self.rate.is_none() || (self.permits.left > 0 && now < self.permits.until)
+        self.rate.is_none() || (self.permits.remaining > 0 && now < self.permits.until)
     }
 
     /// Records that a request was sent.
@@ -143,45 +143,45 @@
             return;
         }
         let permits = &mut self.permits;
-        permits.left = permits.left.saturating_sub(1);
-        if permits.left == 0 {
-            permits.wanted = (permits.wanted * 2).min(MOST_WANTED);
+        permits.remaining = permits.remaining.saturating_sub(1);
+        if permits.remaining == 0 {
+            permits.request_size = (permits.request_size * 2).min(MAX_PERMITS_REQUESTED);
         }
     }
 
     /// Returns how many permits to request now, if any, and records the request.
-    pub fn permits_wanted(&mut self, now: Timestamp, urgency: Urgency) -> Option<u32> {
+    pub fn permits_wanted(&mut self, now: Timestamp, urgency: PermitUrgency) -> Option<u32> {
         if self.may_send(now) {
             return None;
         }
         let permits = &mut self.permits;
-        let pause = match urgency {
-            Urgency::Waited => PERMIT_TIME,
-            Urgency::Spare => permits.pause,
+        let interval = match urgency {
+            PermitUrgency::Immediate => PERMIT_TIME,
+            PermitUrgency::Prefetch => permits.interval,
         };
-        if permits.asked_at.is_some_and(|at| now.since(at) < pause) {
+        if permits.asked_at.is_some_and(|at| now.since(at) < interval) {
             return None;
         }
-        if permits.left > 0 {
-            permits.left = 0;
-            permits.wanted = (permits.wanted / 2).max(1);
+        if permits.remaining > 0 {
+            permits.remaining = 0;
+            permits.request_size = (permits.request_size / 2).max(1);
         }
         if permits.asked_at.is_some() {
             // The last request was not granted: demand exceeds the limit.
-            permits.pause = (permits.pause * 2).min(MOST_PAUSE);
+            permits.interval = (permits.interval * 2).min(MAX_REQUEST_INTERVAL);
         }
         permits.asked_at = Some(now);
-        Some(permits.wanted)
+        Some(permits.request_size)
     }
 
     /// Handles granted permits. Permits left from an earlier grant expire, as they are valid only
     /// from when they were issued.
     pub fn on_granted(&mut self, now: Timestamp, count: u32) {
         let permits = &mut self.permits;
-        permits.left = count;
+        permits.remaining = count;
         permits.until = now + PERMIT_TIME;
         permits.asked_at = None;
-        permits.pause = PERMIT_TIME;
+        permits.interval = PERMIT_TIME;
     }
 
     /// Whether a recent permit request is still unanswered.
--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -12,7 +12,7 @@
 use crate::core::types::{EngineStart, Timestamp};
 
 use super::dispatch::{Router, RouterAction};
-use super::named::{LimitChange, Urgency};
+use super::limit_state::{LimitChange, PermitUrgency};
 use super::request::UpstreamId;
 use super::target::TargetState;
 use super::upstream::Upstream;
@@ -25,7 +25,7 @@
     }
 
     /// Applies a limit reported by another daemon at `told_at`.
-    pub fn learn_limit(
+    pub fn apply_reported_limit(
         &mut self,
         now: Timestamp,
         told_at: Timestamp,
@@ -76,12 +76,12 @@
         if !signal.is_success() && signal.limit == NamedLimit::None {
             return;
         }
-        let Some(change) = self.limit.hear(now, sent_at, signal.limit) else {
+        let Some(change) = self.limit.on_answer(now, sent_at, signal.limit) else {
             return;
         };
         out.push(limit_line(&self.spec.id, &change));
         if !matches!(change, LimitChange::Unreadable(_)) {
-            out.push(RouterAction::TellLimit(report_of(now, self)));
+            out.push(RouterAction::ReportLimit(report_of(now, self)));
         }
     }
 }
@@ -92,12 +92,12 @@
         &mut self,
         now: Timestamp,
         index: usize,
-        urgency: Urgency,
+        urgency: PermitUrgency,
     ) -> Option<RouterAction> {
         let upstream = self.upstreams.get_mut(index)?;
         let wanted = upstream.limit.permits_wanted(now, urgency)?;
         let known = report_of(now, upstream);
-        Some(RouterAction::AskPermits { known, wanted })
+        Some(RouterAction::RequestPermits { known, wanted })
     }
 
     /// Requests permits while queued requests cannot be sent to upstreams without a limit.
@@ -107,34 +107,34 @@
         let limited: Vec<usize> = (0..self.upstreams.len())
             .filter(|index| is_limited(&self.upstreams[*index]))
             .collect();
-        let awaited = limited
+        let awaiting_permits = limited
             .iter()
             .filter(|index| self.upstreams[**index].limit.awaits_permits(now))
             .count();
-        let most = self.queue.len().saturating_sub(awaited);
-        let asked = limited
+        let max_requests = self.queue.len().saturating_sub(awaiting_permits);
+        let requested = limited
             .into_iter()
-            .filter_map(|index| self.ask_permits(now, index, Urgency::Waited));
-        out.extend(asked.take(most));
+            .filter_map(|index| self.ask_permits(now, index, PermitUrgency::Immediate));
+        out.extend(requested.take(max_requests));
     }
 
     /// Lower bound of the time until all queued requests and one more are sent, if every upstream
     /// has a limit: this daemon gets at most all permits. Zero if any upstream has no limit.
-    pub(super) fn least_wait(&self, now: Timestamp) -> Duration {
+    pub(super) fn min_wait(&self, now: Timestamp) -> Duration {
         let mut rate = 0.0;
-        let mut at_start = 0.0;
+        let mut initial_burst = 0.0;
         for upstream in self.upstreams.iter().filter(|u| u.is_eligible(now)) {
             let Some(limit) = upstream.limit.rate() else {
                 return Duration::ZERO;
             };
             rate += effective(limit);
-            at_start += at_once(limit);
+            initial_burst += at_once(limit);
         }
-        let waits = self.queue.len() as f64 + 1.0 - at_start;
-        if rate <= 0.0 || waits <= 0.0 {
+        let remaining = self.queue.len() as f64 + 1.0 - initial_burst;
+        if rate <= 0.0 || remaining <= 0.0 {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(waits / rate)
+        Duration::from_secs_f64(remaining / rate)
     }
 }
 
--- a/shalehinge/src/core/router/mod.rs
+++ b/shalehinge/src/core/router/mod.rs
@@ -13,13 +13,13 @@
 //! - `choose`: selection of an upstream for a request
 //! - `outlier`: ejection of upstreams that fail or are slow
 //! - `failing`: detection of requests that fail on every upstream
-//! - `named`, `limits`: limits that overloaded upstreams name, and permits to send to them
+//! - `limit_state`, `limits`: limits that overloaded upstreams name, and permits to send to them
 //! - `refusal`: refusal of requests before they are sent
 //! - `retry_budget`: limit on the number of retries
 //! - `keys`: validity of API keys of relayed requests
 //! - `quarantine`: quarantine of requests that crash upstreams
 //! - `suspects`: evidence of such requests, and its exchange with other daemons
-//! - `trying`: trials of suspected requests
+//! - `trial`: trials of suspected requests
 //! - `reports`: load reports from upstreams
 //! - `expiry`: expired deadlines and other periodic work
 //! - `stalled`: detection of stalled replicas
@@ -36,8 +36,8 @@
 pub mod failing;
 mod keys;
 pub mod leaving;
+pub mod limit_state;
 mod limits;
-pub mod named;
 pub mod outlier;
 pub mod prefix;
 pub mod quarantine;
@@ -51,7 +51,7 @@
 mod suspects;
 mod target;
 pub mod topology;
-mod trying;
+mod trial;
 pub mod upstream;
 pub mod wait_queue;
 
--- a/shalehinge/src/core/router/outlier.rs
+++ b/shalehinge/src/core/router/outlier.rs
@@ -6,7 +6,7 @@
 use crate::settings::router::RouterSettings;
 
 /// Longest ejection.
-const MOST: Duration = Duration::from_secs(60);
+const MAX_EJECTION: Duration = Duration::from_secs(60);
 
 /// Ejection state of one upstream.
 #[derive(Clone, Debug, Default)]
@@ -47,13 +47,13 @@
         self.on_probation || self.failures_in_a_row >= settings.eject_after
     }
 
-    /// Ejects the upstream, for twice as long each time, up to [`MOST`].
+    /// Ejects the upstream, for twice as long each time, up to [`MAX_EJECTION`].
     pub fn eject(&mut self, now: Timestamp, settings: &RouterSettings) {
         let doublings = self.ejections.min(8);
         let time = settings.eject_for * 2u32.pow(doublings);
         self.ejections += 1;
         self.failures_in_a_row = 0;
         self.on_probation = true;
-        self.ejected_until = Some(now + time.min(MOST));
+        self.ejected_until = Some(now + time.min(MAX_EJECTION));
     }
 }
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -19,17 +19,17 @@
 
 /// How long a lost attempt counts. Less frequent requests do little harm, and the longer the
 /// period, the more likely it is that two losses are unrelated.
-const LOSS_MEMORY: Duration = Duration::from_secs(300);
+const LOSS_RETENTION: Duration = Duration::from_secs(300);
 /// Losses of one request at one upstream within this time are treated as one crash reported by
 /// several daemons. It is well above the time within which all daemons notice a crash (under
 /// 100 ms) and below the time that a crashed upstream takes to return (seconds).
-const SAME_CRASH: Duration = Duration::from_secs(1);
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 /// Maximum number of requests with losses to remember; a crash adds every request that was
 /// running there.
-const MOST_RECORDS: usize = 4_096;
+const MAX_RECORDS: usize = 4_096;
 /// Maximum number of completed requests to remember. At 100 requests per second this covers the
 /// last ten seconds, and requests repeated more often than that are always included.
-const MOST_COMPLETIONS: usize = 1_024;
+const MAX_COMPLETIONS: usize = 1_024;
 
 /// An attempt that was lost at an upstream without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 
 /// Changes to tell other daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Losses, for the daemons that count the losses of all daemons.
     pub losses: Vec<Loss>,
     /// New or extended quarantines, for all daemons.
@@ -85,7 +85,7 @@
     pub completions: Vec<Completion>,
 }
 
-impl QuarantineNews {
+impl QuarantineUpdate {
     /// Whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty() && self.quarantined.is_empty() && self.completions.is_empty()
@@ -116,7 +116,7 @@
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, Record>,
     completions: VecDeque<Completion>,
-    news: QuarantineNews,
+    update: QuarantineUpdate,
 }
 
 impl Quarantine {
@@ -153,40 +153,41 @@
     }
 
     /// Records a lost attempt of this daemon. Returns whether it newly quarantines the request.
-    pub fn note_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
+    pub fn record_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
         if settings.quarantine_after == 0 {
             return false;
         }
-        self.news.losses.push(loss.clone());
-        self.count(loss, settings)
+        self.update.losses.push(loss.clone());
+        self.count_loss(loss, settings)
     }
 
     /// Applies a lost attempt of another daemon. Returns whether it newly quarantines the
     /// request.
-    pub fn learn_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
-        let later = self.completed_since(loss.fingerprint, loss.at);
+    pub fn apply_remote_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
+        let later = self.completion_since(loss.fingerprint, loss.at);
         if settings.quarantine_after == 0 || later.is_some() {
             return false;
         }
-        self.count(loss, settings)
+        self.count_loss(loss, settings)
     }
 
-    fn count(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
+    fn count_loss(&mut self, loss: Loss, settings: &RouterSettings) -> bool {
         let Loss {
             fingerprint,
             upstream,
             at,
         } = loss;
-        self.make_room();
+        self.evict_if_full();
         let record = self.records.entry(fingerprint).or_default();
         if record.completed_at.is_some_and(|completed| completed >= at) {
             return false;
         }
         record
             .crashes
-            .retain(|(_, crashed_at)| at.since(*crashed_at) < LOSS_MEMORY);
+            .retain(|(_, crashed_at)| at.since(*crashed_at) < LOSS_RETENTION);
         let is_known = record.crashes.iter().any(|(known, crashed_at)| {
-            *known == upstream && at.since(*crashed_at).max(crashed_at.since(at)) < SAME_CRASH
+            *known == upstream
+                && at.since(*crashed_at).max(crashed_at.since(at)) < SAME_CRASH_WINDOW
         });
         if is_known {
             return false;
@@ -206,12 +207,12 @@
                 .map_or(Evidence::Suspected, |held| held.evidence),
         };
         record.quarantined = Some(quarantined);
-        self.news.quarantined.push(quarantined);
+        self.update.quarantined.push(quarantined);
         !was_quarantined
     }
 
     /// Records that an upstream crashed during the trial of this request.
-    pub fn prove(&mut self, loss: &Loss) {
+    pub fn mark_proven(&mut self, loss: &Loss) {
         let record = self.records.entry(loss.fingerprint).or_default();
         let first_lost_at = record
             .quarantined
@@ -223,11 +224,11 @@
             evidence: Evidence::Proven,
         };
         record.quarantined = Some(quarantined);
-        self.news.quarantined.push(quarantined);
+        self.update.quarantined.push(quarantined);
     }
 
     /// The quarantine of a request, if it is in force now.
-    pub fn held(
+    pub fn active(
         &self,
         now: Timestamp,
         fingerprint: Fingerprint,
@@ -238,25 +239,25 @@
     }
 
     /// Records a complete answer received by this daemon. Returns whether it ends a quarantine.
-    pub fn note_completion(&mut self, completion: Completion) -> bool {
-        if self.completions.len() >= MOST_COMPLETIONS {
+    pub fn record_completion(&mut self, completion: Completion) -> bool {
+        if self.completions.len() >= MAX_COMPLETIONS {
             self.completions.pop_front();
         }
         self.completions.push_back(completion);
-        let ends = self.clear(completion);
+        let ends = self.apply_completion(completion);
         if ends {
-            self.news.completions.push(completion);
+            self.update.completions.push(completion);
         }
         ends
     }
 
     /// Applies a complete answer received by another daemon. Returns whether it ends a
     /// quarantine.
-    pub fn learn_completion(&mut self, completion: Completion) -> bool {
-        self.clear(completion)
+    pub fn apply_remote_completion(&mut self, completion: Completion) -> bool {
+        self.apply_completion(completion)
     }
 
-    fn clear(&mut self, completion: Completion) -> bool {
+    fn apply_completion(&mut self, completion: Completion) -> bool {
         let Some(record) = self.records.get_mut(&completion.fingerprint) else {
             return false;
         };
@@ -274,41 +275,41 @@
     /// Applies another daemon's quarantine. Returns whether it is new here or proven for the
     /// first time. If this daemon received a complete answer since the first loss, it tells all
     /// daemons of that instead.
-    pub fn learn_quarantined(&mut self, quarantined: Quarantined) -> bool {
+    pub fn apply_remote_quarantine(&mut self, quarantined: Quarantined) -> bool {
         let fingerprint = quarantined.fingerprint;
-        if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at) {
-            self.news.completions.push(completion);
+        if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at) {
+            self.update.completions.push(completion);
             return false;
         }
-        self.make_room();
+        self.evict_if_full();
         let record = self.records.entry(fingerprint).or_default();
         let known = record.quarantined;
-        let is_news = known.is_none_or(|known| quarantined.evidence > known.evidence);
+        let is_new = known.is_none_or(|known| quarantined.evidence > known.evidence);
         let later = known.is_none_or(|known| quarantined.last_lost_at > known.last_lost_at);
         let is_weaker = known.is_some_and(|known| quarantined.evidence < known.evidence);
-        if is_news || (later && !is_weaker) {
+        if is_new || (later && !is_weaker) {
             record.quarantined = Some(quarantined);
         }
-        is_news
+        is_new
     }
 
     /// The latest complete answer known here, if it arrived at or after `since`.
-    fn completed_since(&self, fingerprint: Fingerprint, since: Timestamp) -> Option<Completion> {
+    fn completion_since(&self, fingerprint: Fingerprint, since: Timestamp) -> Option<Completion> {
         let record = self.records.get(&fingerprint);
-        let told = record.and_then(|record| record.completed_at);
+        let known_at = record.and_then(|record| record.completed_at);
         let own = self
             .completions
             .iter()
             .rev()
             .find(|completion| completion.fingerprint == fingerprint)
             .map(|completion| completion.at);
-        let at = told.max(own)?;
+        let at = known_at.max(own)?;
         (at >= since).then_some(Completion { fingerprint, at })
     }
 
     /// Discards the record with the oldest activity if the maximum number is reached.
-    fn make_room(&mut self) {
-        if self.records.len() < MOST_RECORDS {
+    fn evict_if_full(&mut self) {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         let oldest = self.records.iter().min_by_key(|(_, r)| r.last_at());
@@ -318,14 +319,14 @@
     }
 
     /// Discards records that have expired.
-    pub fn forget_old(&mut self, now: Timestamp, settings: &RouterSettings) {
-        let memory = settings.quarantine_for.max(LOSS_MEMORY);
+    pub fn remove_expired(&mut self, now: Timestamp, settings: &RouterSettings) {
+        let retention = settings.quarantine_for.max(LOSS_RETENTION);
         self.records
-            .retain(|_, record| now < record.last_at() + memory);
+            .retain(|_, record| now < record.last_at() + retention);
     }
 
     /// Takes the changes to tell other daemons; each is returned once.
-    pub fn take_news(&mut self) -> QuarantineNews {
-        std::mem::take(&mut self.news)
+    pub fn take_update(&mut self) -> QuarantineUpdate {
+        std::mem::take(&mut self.update)
     }
 }
--- a/shalehinge/src/core/router/queue.rs
+++ b/shalehinge/src/core/router/queue.rs
@@ -11,7 +11,7 @@
 
 /// A queued request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The request.
     pub request: RequestId,
     /// Estimated cost in tokens.
@@ -32,7 +32,7 @@
     request: RequestId,
 }
 
-impl Waiting {
+impl QueuedRequest {
     fn rank(&self) -> Rank {
         Rank {
             priority: std::cmp::Reverse(self.priority),
@@ -43,18 +43,18 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct CustomerQueue {
     tag: f64,
     share: f64,
     cost: f64,
-    waiting: BTreeMap<Rank, Waiting>,
+    requests: BTreeMap<Rank, QueuedRequest>,
 }
 
 /// A queue that is fair between customers.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
     virtual_time: f64,
-    lines: BTreeMap<Customer, Line>,
+    customers: BTreeMap<Customer, CustomerQueue>,
     len: usize,
 }
 
@@ -70,81 +70,81 @@
     }
 
     /// Adds a request of a customer with this share.
-    pub fn push(&mut self, customer: &Customer, share: u32, waiting: Waiting) {
+    pub fn push(&mut self, customer: &Customer, share: u32, waiting: QueuedRequest) {
         let virtual_time = self.virtual_time;
-        let line = self.lines.entry(customer.clone()).or_default();
-        if line.waiting.is_empty() {
-            line.tag = line.tag.max(virtual_time);
+        let customer_queue = self.customers.entry(customer.clone()).or_default();
+        if customer_queue.requests.is_empty() {
+            customer_queue.tag = customer_queue.tag.max(virtual_time);
         }
-        line.share = f64::from(share.max(1));
-        line.cost += waiting.cost;
-        line.waiting.insert(waiting.rank(), waiting);
+        customer_queue.share = f64::from(share.max(1));
+        customer_queue.cost += waiting.cost;
+        customer_queue.requests.insert(waiting.rank(), waiting);
         self.len += 1;
     }
 
     /// Returns the next request without removing it.
-    pub fn peek(&self) -> Option<&Waiting> {
-        let (_, line) = self.next_line()?;
-        line.waiting.values().next()
+    pub fn peek(&self) -> Option<&QueuedRequest> {
+        let (_, customer_queue) = self.next_customer()?;
+        customer_queue.requests.values().next()
     }
 
     /// Removes the next request if it can no longer meet its target time, and returns it with its
     /// customer and the customer's share. The customer is not charged for it.
-    pub fn take_overdue(&mut self, now: Timestamp) -> Option<(Customer, u32, Waiting)> {
-        let (customer, line) = self.next_line()?;
-        let waiting = line.waiting.values().next()?;
+    pub fn take_overdue(&mut self, now: Timestamp) -> Option<(Customer, u32, QueuedRequest)> {
+        let (customer, customer_queue) = self.next_customer()?;
+        let waiting = customer_queue.requests.values().next()?;
         if waiting.start_by.is_none_or(|start_by| now <= start_by) {
             return None;
         }
-        let (customer, share) = (customer.clone(), line.share as u32);
+        let (customer, share) = (customer.clone(), customer_queue.share as u32);
         let request = waiting.request;
         let waiting = self.remove(&customer, request)?;
         Some((customer, share, waiting))
     }
 
-    fn next_line(&self) -> Option<(&Customer, &Line)> {
-        self.lines
+    fn next_customer(&self) -> Option<(&Customer, &CustomerQueue)> {
+        self.customers
             .iter()
-            .filter(|(_, line)| !line.waiting.is_empty())
+            .filter(|(_, customer_queue)| !customer_queue.requests.is_empty())
             .min_by(|a, b| a.1.tag.total_cmp(&b.1.tag))
     }
 
     /// Removes and returns the next request.
-    pub fn pop(&mut self) -> Option<Waiting> {
-        let customer = self.next_line()?.0.clone();
-        let line = self.lines.get_mut(&customer)?;
-        let (_, waiting) = line.waiting.pop_first()?;
-        self.virtual_time = line.tag;
-        line.tag += waiting.cost / line.share;
-        line.cost -= waiting.cost;
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
+        let customer = self.next_customer()?.0.clone();
+        let customer_queue = self.customers.get_mut(&customer)?;
+        let (_, waiting) = customer_queue.requests.pop_first()?;
+        self.virtual_time = customer_queue.tag;
+        customer_queue.tag += waiting.cost / customer_queue.share;
+        customer_queue.cost -= waiting.cost;
         self.len -= 1;
         Some(waiting)
     }
 
     /// Removes a request at any position.
-    pub fn remove(&mut self, customer: &Customer, request: RequestId) -> Option<Waiting> {
-        let line = self.lines.get_mut(customer)?;
-        let rank = line
-            .waiting
+    pub fn remove(&mut self, customer: &Customer, request: RequestId) -> Option<QueuedRequest> {
+        let customer_queue = self.customers.get_mut(customer)?;
+        let rank = customer_queue
+            .requests
             .iter()
             .find(|(rank, _)| rank.request == request)
             .map(|(rank, _)| *rank)?;
-        let waiting = line.waiting.remove(&rank)?;
-        line.cost -= waiting.cost;
+        let waiting = customer_queue.requests.remove(&rank)?;
+        customer_queue.cost -= waiting.cost;
         self.len -= 1;
         Some(waiting)
     }
 
     /// Removes the last request of the customer with the highest queued cost relative to its
     /// share.
-    pub fn evict(&mut self) -> Option<Waiting> {
-        let line = self
-            .lines
+    pub fn evict(&mut self) -> Option<QueuedRequest> {
+        let customer_queue = self
+            .customers
             .values_mut()
-            .filter(|line| !line.waiting.is_empty())
+            .filter(|customer_queue| !customer_queue.requests.is_empty())
             .max_by(|a, b| (a.cost / a.share).total_cmp(&(b.cost / b.share)))?;
-        let (_, waiting) = line.waiting.pop_last()?;
-        line.cost -= waiting.cost;
+        let (_, waiting) = customer_queue.requests.pop_last()?;
+        customer_queue.cost -= waiting.cost;
         self.len -= 1;
         Some(waiting)
     }
@@ -152,16 +152,16 @@
     /// Removes all requests whose deadline is before `limit`.
     pub fn expire(&mut self, limit: Timestamp) -> Vec<RequestId> {
         let mut expired = Vec::new();
-        for line in self.lines.values_mut() {
-            let late: Vec<Rank> = line
-                .waiting
+        for customer_queue in self.customers.values_mut() {
+            let late: Vec<Rank> = customer_queue
+                .requests
                 .keys()
                 .filter(|rank| rank.deadline < limit)
                 .copied()
                 .collect();
             for rank in late {
-                if let Some(waiting) = line.waiting.remove(&rank) {
-                    line.cost -= waiting.cost;
+                if let Some(waiting) = customer_queue.requests.remove(&rank) {
+                    customer_queue.cost -= waiting.cost;
                     self.len -= 1;
                     expired.push(waiting.request);
                 }
@@ -172,22 +172,27 @@
 
     /// Corrects a customer's tag once the actual cost of a request, in tokens, is known.
     pub fn correct(&mut self, customer: &Customer, estimated: f64, actual: f64) {
-        if let Some(line) = self.lines.get_mut(customer) {
-            line.tag += (actual - estimated) / line.share.max(1.0);
+        if let Some(customer_queue) = self.customers.get_mut(customer) {
+            customer_queue.tag += (actual - estimated) / customer_queue.share.max(1.0);
         }
     }
 
     /// Cost in tokens queued ahead of a new request of this customer, and the fraction of the
     /// target's capacity that the customer gets while all customers wait.
-    pub fn ahead(&self, customer: &Customer, share: u32) -> (f64, f64) {
+    pub fn queued_ahead(&self, customer: &Customer, share: u32) -> (f64, f64) {
         let share = f64::from(share.max(1));
         let others: f64 = self
-            .lines
+            .customers
             .iter()
-            .filter(|(other, line)| *other != customer && !line.waiting.is_empty())
-            .map(|(_, line)| line.share)
+            .filter(|(other, customer_queue)| {
+                *other != customer && !customer_queue.requests.is_empty()
+            })
+            .map(|(_, customer_queue)| customer_queue.share)
             .sum();
-        let cost = self.lines.get(customer).map_or(0.0, |line| line.cost);
+        let cost = self
+            .customers
+            .get(customer)
+            .map_or(0.0, |customer_queue| customer_queue.cost);
         (cost, share / (share + others))
     }
 
@@ -195,7 +200,8 @@
     /// virtual time, to bound memory.
     pub fn forget_idle(&mut self) {
         let virtual_time = self.virtual_time;
-        self.lines
-            .retain(|_, line| !line.waiting.is_empty() || line.tag > virtual_time);
+        self.customers.retain(|_, customer_queue| {
+            !customer_queue.requests.is_empty() || customer_queue.tag > virtual_time
+        });
     }
 }
--- a/shalehinge/src/core/router/refusal.rs
+++ b/shalehinge/src/core/router/refusal.rs
@@ -9,58 +9,58 @@
 use super::quarantine::{Evidence, Quarantine, Quarantined};
 use super::request::{NotRunReason, Outcome, RequestMeta, Target};
 use super::target::Pending;
-use super::trying::TrialState;
+use super::trial::TrialState;
 
 /// Longest retry-after time given to callers.
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Shortest retry-after time, unless the settings specify a shorter one.
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time after a crash before the requests that ran there are tried. By then, related crashes have
 /// occurred and been reported.
-const SETTLING: Duration = Duration::from_millis(1_200);
+const MIN_TRIAL_DELAY: Duration = Duration::from_millis(1_200);
 /// Time after a crash during which a trial waits for missing upstreams to return.
-const MOST_TRIAL_DELAY: Duration = Duration::from_secs(6);
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(6);
 /// Retry-after time for a suspected request that got no trial.
 pub(super) const SUSPECT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Why a request is refused, and the retry-after time for its caller.
 type Refusal = (NotRunReason, Duration);
 
 /// Inputs to the decision whether a queued request is still sent.
-pub(super) struct Waiting<'a> {
+pub(super) struct QueuedContext<'a> {
     pub(super) now: Timestamp,
     pub(super) settings: &'a RouterSettings,
     pub(super) quarantine: &'a Quarantine,
     /// Time until which requests that carry a key may be sent.
-    pub(super) keys_until: Option<Timestamp>,
+    pub(super) keys_valid_until: Option<Timestamp>,
     /// Estimated time from sending the request to its complete answer.
     pub(super) service_time: Duration,
     pub(super) pending: &'a Pending,
 }
 
 /// Returns the refusal for a queued request that should no longer be sent.
-pub(super) fn waiting_refusal(waiting: &Waiting<'_>) -> Option<Refusal> {
-    let &Waiting {
+pub(super) fn queued_refusal(context: &QueuedContext<'_>) -> Option<Refusal> {
+    let &QueuedContext {
         now,
         settings,
         pending,
         ..
-    } = waiting;
+    } = context;
     let meta = &pending.meta;
-    let held = waiting.quarantine.held(now, meta.fingerprint, settings);
+    let held = context.quarantine.active(now, meta.fingerprint, settings);
     let is_tried = matches!(pending.trial, TrialState::At(_));
     if let Some(held) = held.filter(|held| !is_tried || held.evidence == Evidence::Proven) {
         let retry_after = retry_after_of(now, &held, settings).unwrap_or(SUSPECT_RETRY_AFTER);
         return Some((NotRunReason::Quarantined, retry_after));
     }
-    let has_waited = now > pending.came_at;
+    let has_waited = now > pending.arrived_at;
     let is_too_late = settings.early_refusal
         && has_waited
         && pending.attempts == 0
-        && waiting.service_time > meta.deadline.since(now);
+        && context.service_time > meta.deadline.since(now);
     if is_too_late {
         return Some((NotRunReason::WouldBeLate, settings.retry_after));
     }
-    let is_out_of_date = waiting.keys_until.is_some_and(|until| now >= until);
+    let is_out_of_date = context.keys_valid_until.is_some_and(|until| now >= until);
     let needs_key = meta.credential.is_some();
     (needs_key && is_out_of_date).then_some((NotRunReason::OutOfDate, settings.retry_after))
 }
@@ -90,12 +90,12 @@
 /// Limits a retry-after time: long enough that callers do not return in vain, short enough that
 /// they return soon after other upstreams become available.
 fn bounded_retry_after(wait: Duration, settings: &RouterSettings) -> Duration {
-    let least = settings.retry_after.min(LEAST_RETRY_AFTER);
-    wait.clamp(least, MOST_RETRY_AFTER)
+    let shortest = settings.retry_after.min(MIN_RETRY_AFTER);
+    wait.clamp(shortest, MAX_RETRY_AFTER)
 }
 
 /// Retry-after time for the caller of a quarantined request: until the trial of a suspected
-/// request, or until the quarantine of a proven one ends, up to [`MOST_RETRY_AFTER`]. `None` if
+/// request, or until the quarantine of a proven one ends, up to [`MAX_RETRY_AFTER`]. `None` if
 /// it may be tried now.
 fn retry_after_of(
     now: Timestamp,
@@ -103,32 +103,34 @@
     settings: &RouterSettings,
 ) -> Option<Duration> {
     let until = match held.evidence {
-        Evidence::Suspected => held.last_lost_at + SETTLING,
+        Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,
         Evidence::Proven => held.last_lost_at + settings.quarantine_for,
     };
-    (now < until).then(|| until.since(now).min(MOST_RETRY_AFTER))
+    (now < until).then(|| until.since(now).min(MAX_RETRY_AFTER))
 }
 
 impl Router {
     /// Returns the refusal that a new request would receive now, if any.
     pub fn refusal(&self, now: Timestamp, meta: &RequestMeta, share: u32) -> Option<Refusal> {
         let Some(state) = self.targets.get(&meta.target) else {
-            return Some((NotRunReason::UnknownTarget, MOST_RETRY_AFTER));
+            return Some((NotRunReason::UnknownTarget, MAX_RETRY_AFTER));
         };
-        let held = self.quarantine.held(now, meta.fingerprint, &self.settings);
+        let held = self
+            .quarantine
+            .active(now, meta.fingerprint, &self.settings);
         if let Some(held) = held {
             if let Some(left) = retry_after_of(now, &held, &self.settings) {
                 return Some((NotRunReason::Quarantined, left));
             }
             // A trial may crash another upstream, so it waits until those that crashed have
             // returned.
-            let may_wait = now < held.last_lost_at + MOST_TRIAL_DELAY;
-            if may_wait && state.usual.is_short(state.present(now)) {
+            let may_wait = now < held.last_lost_at + MAX_TRIAL_DELAY;
+            if may_wait && state.recent_capacity.is_below_recent(state.present(now)) {
                 return Some((NotRunReason::Quarantined, SUSPECT_RETRY_AFTER));
             }
         }
         let retry_after = self.settings.retry_after;
-        let is_out_of_date = self.keys_until.is_some_and(|until| now >= until);
+        let is_out_of_date = self.keys_valid_until.is_some_and(|until| now >= until);
         if is_out_of_date && meta.credential.is_some() {
             return Some((NotRunReason::OutOfDate, retry_after));
         }
@@ -140,7 +142,7 @@
         }
         let time_left = meta.deadline.since(now);
         let wait = state.wait_of(&meta.customer, share, state.cost_of(meta));
-        let wait = wait.max(state.least_wait(now)).max(unavailable_for);
+        let wait = wait.max(state.min_wait(now)).max(unavailable_for);
         let has_room = state.queue.is_empty() && state.upstreams.iter().any(|u| u.is_eligible(now));
         let service_time = state.service_time(meta);
         if has_room {
@@ -158,8 +160,8 @@
             let retry_after = bounded_retry_after(unavailable_for, &self.settings);
             return Some((NotRunReason::NoUpstreamInTime, retry_after));
         }
-        let too_much = wait.saturating_sub(longest_wait);
-        let retry_after = bounded_retry_after(too_much, &self.settings);
+        let excess = wait.saturating_sub(longest_wait);
+        let retry_after = bounded_retry_after(excess, &self.settings);
         Some((NotRunReason::WouldBeLate, retry_after))
     }
 
--- a/shalehinge/src/core/router/reports.rs
+++ b/shalehinge/src/core/router/reports.rs
@@ -18,12 +18,12 @@
         rng: &mut impl rand::Rng,
         out: &mut Vec<RouterAction>,
     ) {
-        let (settings, sharers) = (self.settings, self.sharers);
+        let (settings, daemon_count) = (self.settings, self.daemon_count);
         let Some((target, known)) = self.find(upstream) else {
             return;
         };
         match status {
-            Some(status) => known.on_report(asked_at, status, sharers, &settings),
+            Some(status) => known.on_report(asked_at, status, daemon_count, &settings),
             None => known.on_report_failed(now),
         }
         self.dispatch(now, &target, rng, out);
--- a/shalehinge/src/core/router/retry_budget.rs
+++ b/shalehinge/src/core/router/retry_budget.rs
@@ -25,11 +25,11 @@
     /// Creates a budget with few retries saved up, as other daemons of the fleet may have used up
     /// its part of a shared burst.
     pub fn nearly_empty(ratio: f64, burst: f64) -> Self {
-        const FIRST: f64 = 3.0;
+        const INITIAL_TOKENS: f64 = 3.0;
         Self {
             ratio,
             burst,
-            tokens: burst.min(FIRST),
+            tokens: burst.min(INITIAL_TOKENS),
         }
     }
 
--- a/shalehinge/src/core/router/signals.rs
+++ b/shalehinge/src/core/router/signals.rs
@@ -58,7 +58,7 @@
     }
 
     /// Upstreams in a cooldown requested from this daemon, and the time left.
-    pub fn cooling_upstreams(
+    pub fn upstreams_in_cooldown(
         &self,
         now: Timestamp,
     ) -> impl Iterator<Item = (&UpstreamId, Duration)> {
--- a/shalehinge/src/core/router/stalled.rs
+++ b/shalehinge/src/core/router/stalled.rs
@@ -10,12 +10,12 @@
 
 /// Longest interval between ticks after which stalls are still detected. A daemon that was paused
 /// for longer cannot tell which upstreams stalled in the meantime.
-const MOST_TICK_GAP: Duration = Duration::from_millis(300);
+const MAX_TICK_GAP: Duration = Duration::from_millis(300);
 
 impl Router {
     /// Retries elsewhere what can be retried of the requests on stalled replicas.
-    pub(super) fn leave_stalled(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
-        let was_paused = now.since(self.ticked_at) > MOST_TICK_GAP;
+    pub(super) fn handle_stalled(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
+        let was_paused = now.since(self.ticked_at) > MAX_TICK_GAP;
         self.ticked_at = now;
         let settings = self.settings;
         let mut stalled = Vec::new();
@@ -30,13 +30,13 @@
         }
         for id in stalled {
             out.push(RouterAction::Log(format!("{id} is stalled")));
-            self.move_away(now, &id, out);
+            self.retry_elsewhere(now, &id, out);
         }
     }
 
     /// Handles the definite loss of a replica's member: the replica receives no further requests,
     /// and what can be retried of its requests is retried elsewhere immediately.
-    pub fn lose(
+    pub fn on_replica_lost(
         &mut self,
         now: Timestamp,
         replica: &ReplicaId,
@@ -55,31 +55,31 @@
         if upstream.is_lost() || upstream.spec.evidence == Evidence::Reports {
             return;
         }
-        upstream.on_lost();
+        upstream.mark_lost();
         out.push(RouterAction::Log(format!("{id} lost a member")));
-        self.move_away(now, &id, out);
+        self.retry_elsewhere(now, &id, out);
         self.dispatch_all(now, rng, out);
     }
 
-    fn move_away(&mut self, now: Timestamp, id: &UpstreamId, out: &mut Vec<RouterAction>) {
-        let movable: Vec<RequestId> = self
+    fn retry_elsewhere(&mut self, now: Timestamp, id: &UpstreamId, out: &mut Vec<RouterAction>) {
+        let retryable: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| {
                 let runs_there = pending.running.as_ref().is_some_and(|r| r.upstream == *id);
-                let is_whole = !pending.seen_output || pending.meta.is_resumable;
-                runs_there && pending.meta.repeatable && is_whole
+                let is_restartable = !pending.has_output || pending.meta.is_resumable;
+                runs_there && pending.meta.repeatable && is_restartable
             })
             .map(|(request, _)| *request)
             .collect();
-        for request in movable {
+        for request in retryable {
             let Some(pending) = self.pending.get_mut(&request) else {
                 continue;
             };
             let Some(running) = pending.running.take() else {
                 continue;
             };
-            pending.runs += 1;
+            pending.possible_runs += 1;
             if let Some(state) = self.targets.get_mut(&pending.meta.target) {
                 state.release(&running);
             }
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -6,12 +6,12 @@
 use crate::core::types::{RequestId, Timestamp};
 
 use super::dispatch::{Router, RouterAction};
-use super::quarantine::{Completion, Evidence, Loss, QuarantineNews, Quarantined};
+use super::quarantine::{Completion, Evidence, Loss, QuarantineUpdate, Quarantined};
 use super::request::{AttemptEnd, Outcome, Target, UpstreamId};
 
 /// Attempts that were lost at an upstream, until it is known whether the upstream crashed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Unexplained {
+pub(super) struct PendingCheck {
     losses: Vec<Loss>,
     /// Requests to retry or answer once it is known.
     waiting: Vec<(RequestId, Outcome)>,
@@ -19,7 +19,7 @@
 
 /// The content and target of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct RequestSubject {
     pub(super) fingerprint: Fingerprint,
     pub(super) target: Target,
 }
@@ -37,16 +37,16 @@
 
     /// Collects evidence from the end of an attempt. An attempt that was refused or not sent
     /// shows nothing, and a stalled one indicates a lost member rather than a crash.
-    pub(super) fn learn_from(
+    pub(super) fn record_evidence(
         &mut self,
         now: Timestamp,
         request: RequestId,
-        asked: &Asked,
+        subject: &RequestSubject,
         upstream: &UpstreamId,
         end: AttemptEnd,
         out: &mut Vec<RouterAction>,
     ) {
-        let fingerprint = asked.fingerprint;
+        let fingerprint = subject.fingerprint;
         match end {
             AttemptEnd::Lost => {
                 out.push(RouterAction::Log(format!(
@@ -58,14 +58,14 @@
                     upstream: upstream.clone(),
                     at: now,
                 };
-                self.look_for(&asked.target, loss, out);
+                self.check_after_loss(&subject.target, loss, out);
             }
             AttemptEnd::Completed { .. } | AttemptEnd::Failed { .. } => {
                 let completion = Completion {
                     fingerprint,
                     at: now,
                 };
-                if self.quarantine.note_completion(completion) {
+                if self.quarantine.record_completion(completion) {
                     out.push(no_longer_quarantined(fingerprint));
                 }
             }
@@ -76,14 +76,14 @@
     /// Requests a check of the upstream after a loss. A broken connection alone does not show a
     /// crash: an upstream that is still running may have cut one answer short, and a request
     /// repeated to such an upstream crashes none.
-    fn look_for(&mut self, target: &Target, loss: Loss, out: &mut Vec<RouterAction>) {
+    fn check_after_loss(&mut self, target: &Target, loss: Loss, out: &mut Vec<RouterAction>) {
         if self.settings.quarantine_after == 0 {
             return;
         }
         let upstream = loss.upstream.clone();
-        let unexplained = self.unexplained.entry(upstream.clone()).or_default();
-        unexplained.losses.push(loss);
-        if unexplained.losses.len() > 1 {
+        let check = self.pending_checks.entry(upstream.clone()).or_default();
+        check.losses.push(loss);
+        if check.losses.len() > 1 {
             // The check already under way covers all attempts lost in the meantime.
             return;
         }
@@ -94,37 +94,37 @@
                 out.push(RouterAction::CheckUpstream { upstream, address });
             }
             None => {
-                self.unexplained.remove(&upstream);
+                self.pending_checks.remove(&upstream);
             }
         }
     }
 
     /// Whether the request would be quarantined if the check of the upstream shows a crash.
-    pub(super) fn awaits_check(&self, asked: &Asked, upstream: &UpstreamId) -> bool {
-        let Some(unexplained) = self.unexplained.get(upstream) else {
+    pub(super) fn awaits_check(&self, subject: &RequestSubject, upstream: &UpstreamId) -> bool {
+        let Some(check) = self.pending_checks.get(upstream) else {
             return false;
         };
-        let of_request = |loss: &&Loss| loss.fingerprint == asked.fingerprint;
-        let is_there = unexplained.losses.iter().any(|loss| of_request(&loss));
-        let elsewhere = self.unexplained.values().flat_map(|known| &known.losses);
+        let of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
+        let is_there = check.losses.iter().any(|loss| of_request(&loss));
+        let elsewhere = self.pending_checks.values().flat_map(|known| &known.losses);
         let crashes =
-            self.quarantine.crashes(asked.fingerprint) + elsewhere.filter(of_request).count();
+            self.quarantine.crashes(subject.fingerprint) + elsewhere.filter(of_request).count();
         is_there && crashes >= self.settings.quarantine_after as usize
     }
 
     /// Holds back the outcome of a request until the upstream has been checked.
-    pub(super) fn wait_for_check(
+    pub(super) fn hold_until_checked(
         &mut self,
         upstream: &UpstreamId,
         request: RequestId,
         outcome: Outcome,
     ) {
-        if let Some(unexplained) = self.unexplained.get_mut(upstream) {
-            unexplained.waiting.push((request, outcome));
+        if let Some(check) = self.pending_checks.get_mut(upstream) {
+            check.waiting.push((request, outcome));
         }
         if let Some(pending) = self.pending.get_mut(&request) {
             // The caller may leave, or its key may be revoked, before the check ends.
-            pending.earlier = Some(outcome);
+            pending.earlier_outcome = Some(outcome);
         }
     }
 
@@ -138,9 +138,10 @@
         rng: &mut impl rand::Rng,
         out: &mut Vec<RouterAction>,
     ) {
-        let Unexplained { losses, waiting } = self.unexplained.remove(upstream).unwrap_or_default();
+        let PendingCheck { losses, waiting } =
+            self.pending_checks.remove(upstream).unwrap_or_default();
         if is_gone {
-            self.note_crash(upstream, losses, out);
+            self.record_crash(upstream, losses, out);
         }
         for (request, outcome) in waiting {
             self.retry_or_answer(now, request, outcome, out);
@@ -148,7 +149,7 @@
         self.dispatch_all(now, rng, out);
     }
 
-    fn note_crash(
+    fn record_crash(
         &mut self,
         upstream: &UpstreamId,
         losses: Vec<Loss>,
@@ -158,49 +159,53 @@
             "{upstream} crashed while running {} requests of this daemon",
             losses.len()
         )));
-        let tried = losses.iter().find(|loss| self.was_tried(loss)).cloned();
-        if let Some(loss) = tried {
+        let on_trial = losses.iter().find(|loss| self.was_on_trial(loss)).cloned();
+        if let Some(loss) = on_trial {
             // The request on trial explains the crash, so the requests that ran beside it are not
             // counted.
-            self.quarantine.prove(&loss);
+            self.quarantine.mark_proven(&loss);
             out.push(proven(loss.fingerprint));
             return;
         }
         for loss in losses {
             let fingerprint = loss.fingerprint;
-            if self.quarantine.note_loss(loss, &self.settings) {
+            if self.quarantine.record_loss(loss, &self.settings) {
                 out.push(quarantined(fingerprint));
             }
         }
     }
 
     /// Applies quarantine changes of another daemon.
-    pub fn learn_quarantine(&mut self, news: QuarantineNews, out: &mut Vec<RouterAction>) {
-        for completion in news.completions {
-            if self.quarantine.learn_completion(completion) {
+    pub fn apply_quarantine_update(
+        &mut self,
+        update: QuarantineUpdate,
+        out: &mut Vec<RouterAction>,
+    ) {
+        for completion in update.completions {
+            if self.quarantine.apply_remote_completion(completion) {
                 out.push(no_longer_quarantined(completion.fingerprint));
             }
         }
-        for held in news.quarantined {
-            if self.quarantine.learn_quarantined(held) {
+        for held in update.quarantined {
+            if self.quarantine.apply_remote_quarantine(held) {
                 out.push(match held.evidence {
                     Evidence::Suspected => quarantined(held.fingerprint),
                     Evidence::Proven => proven(held.fingerprint),
                 });
             }
         }
-        for loss in news.losses {
+        for loss in update.losses {
             let fingerprint = loss.fingerprint;
-            if self.quarantine.learn_loss(loss, &self.settings) {
+            if self.quarantine.apply_remote_loss(loss, &self.settings) {
                 out.push(quarantined(fingerprint));
             }
         }
     }
 
     /// Takes the quarantine changes to tell other daemons; each is returned once.
-    pub fn take_quarantine_news(&mut self, now: Timestamp) -> QuarantineNews {
-        self.quarantine.forget_old(now, &self.settings);
-        self.quarantine.take_news()
+    pub fn take_quarantine_update(&mut self, now: Timestamp) -> QuarantineUpdate {
+        self.quarantine.remove_expired(now, &self.settings);
+        self.quarantine.take_update()
     }
 }
 
--- a/shalehinge/src/core/router/target.rs
+++ b/shalehinge/src/core/router/target.rs
@@ -5,19 +5,19 @@
 use crate::core::types::{AttemptId, Customer, RequestId, Timestamp};
 use crate::settings::router::RouterSettings;
 
-use super::capacity::UsualCapacity;
+use super::capacity::RecentCapacity;
 use super::choose::{Choice, ChoiceContext, Selection, choose, typical_interval};
 use super::estimate::{DrainRate, LowerEnvelope, SmoothedDuration};
-use super::failing::{FailingRequests, Fault};
+use super::failing::{FailingRequests, FailureCause};
 use super::prefix::BLOCK_TOKENS;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::request::{Attempt, AttemptEnd, Outcome, RequestMeta, UpstreamId};
-use super::trying::TrialState;
+use super::trial::TrialState;
 use super::upstream::{Upstream, Work};
 use super::wait_queue::WaitQueue;
 
 /// Expected output of a request before any was measured, as a fraction of its maximum.
-const FIRST_OUTPUT_PART: f64 = 0.5;
+const INITIAL_OUTPUT_FRACTION: f64 = 0.5;
 /// HTTP statuses from here on are the upstream's fault.
 pub(super) const FIRST_SERVER_ERROR: u16 = 500;
 
@@ -25,15 +25,15 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
     pub(super) meta: RequestMeta,
-    pub(super) came_at: Timestamp,
+    pub(super) arrived_at: Timestamp,
     pub(super) attempts: u32,
     /// Number of attempts that may have run.
-    pub(super) runs: u32,
+    pub(super) possible_runs: u32,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) running: Option<Running>,
-    pub(super) seen_output: bool,
+    pub(super) has_output: bool,
     /// Outcome of an earlier attempt that may have run.
-    pub(super) earlier: Option<Outcome>,
+    pub(super) earlier_outcome: Option<Outcome>,
     pub(super) cost: f64,
     pub(super) share: u32,
     pub(super) trial: TrialState,
@@ -44,7 +44,7 @@
     /// in an earlier attempt cannot be reported as not run.
     pub(super) fn outcome(&self, last: Outcome) -> Outcome {
         match last {
-            Outcome::NotRun { .. } => self.earlier.unwrap_or(last),
+            Outcome::NotRun { .. } => self.earlier_outcome.unwrap_or(last),
             _ => last,
         }
     }
@@ -70,10 +70,10 @@
     /// Time to first token of a request that does not have to wait.
     pub(super) fastest_first: LowerEnvelope,
     pub(super) token_interval: SmoothedDuration,
-    pub(super) output_part: Option<f64>,
-    pub(super) turn: usize,
+    pub(super) output_fraction: Option<f64>,
+    pub(super) sent_count: usize,
     pub(super) failing: FailingRequests,
-    pub(super) usual: UsualCapacity,
+    pub(super) recent_capacity: RecentCapacity,
 }
 
 impl TargetState {
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn enqueue(&mut self, request: RequestId, pending: &Pending, timely_first: bool) {
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request,
             cost: pending.cost,
             priority: pending.meta.priority,
@@ -99,14 +99,14 @@
     /// Latest time to send a request so that it meets its target time. A request that was sent
     /// before has none and is not demoted, as part of it may have run.
     fn start_by(&self, pending: &Pending) -> Option<Timestamp> {
-        let aim = pending.meta.first_output_within?;
+        let target_time = pending.meta.first_output_within?;
         let fastest = self.fastest_first.get()?;
         let is_new = pending.attempts == 0;
-        is_new.then(|| pending.came_at + aim.saturating_sub(fastest))
+        is_new.then(|| pending.arrived_at + target_time.saturating_sub(fastest))
     }
 
     pub(super) fn expected_output(&self, meta: &RequestMeta) -> f64 {
-        f64::from(meta.max_output_tokens) * self.output_part.unwrap_or(FIRST_OUTPUT_PART)
+        f64::from(meta.max_output_tokens) * self.output_fraction.unwrap_or(INITIAL_OUTPUT_FRACTION)
     }
 
     /// Estimated cost of a request in tokens if its prompt is not cached.
@@ -126,8 +126,10 @@
         if self.queue.is_empty() {
             return Duration::ZERO;
         }
-        let (ahead, part) = self.queue.ahead(customer, share);
-        self.drain.wait(ahead + cost, part).unwrap_or_default()
+        let (queued_ahead, fraction) = self.queue.queued_ahead(customer, share);
+        self.drain
+            .wait(queued_ahead + cost, fraction)
+            .unwrap_or_default()
     }
 
     pub(super) fn choose_for(
@@ -145,8 +147,8 @@
             settings,
             prefix: &pending.meta.prefix,
             work: self.work_of(&pending.meta, 0),
-            tried: &pending.tried,
-            turn: self.turn,
+            excluded: &pending.tried,
+            sent_count: self.sent_count,
         };
         let selection = choose(&self.upstreams, &context, rng);
         if selection.choice.is_some() || pending.tried.is_empty() {
@@ -158,8 +160,15 @@
             return selection;
         }
         // All available upstreams have been tried, so allow trying one again.
-        let tried = &[];
-        choose(&self.upstreams, &ChoiceContext { tried, ..context }, rng)
+        let excluded = &[];
+        choose(
+            &self.upstreams,
+            &ChoiceContext {
+                excluded,
+                ..context
+            },
+            rng,
+        )
     }
 
     /// A trial runs on its assigned upstream only: elsewhere it might run beside another trial.
@@ -172,9 +181,9 @@
         }
     }
 
-    pub(super) fn work_of(&self, meta: &RequestMeta, held_blocks: usize) -> Work {
-        let held = f64::from(BLOCK_TOKENS) * held_blocks as f64;
-        let prompt = (f64::from(meta.prompt_tokens) - held).max(0.0);
+    pub(super) fn work_of(&self, meta: &RequestMeta, cached_blocks: usize) -> Work {
+        let cached_tokens = f64::from(BLOCK_TOKENS) * cached_blocks as f64;
+        let prompt = (f64::from(meta.prompt_tokens) - cached_tokens).max(0.0);
         let output = self.expected_output(meta);
         Work {
             tokens: prompt + output,
@@ -190,11 +199,11 @@
         id: AttemptId,
         index: usize,
     ) -> Attempt {
-        let held = self.upstreams[index]
+        let cached_blocks = self.upstreams[index]
             .prefixes
             .matching_blocks(&pending.meta.prefix);
-        let work = self.work_of(&pending.meta, held);
-        self.turn = self.turn.wrapping_add(1);
+        let work = self.work_of(&pending.meta, cached_blocks);
+        self.sent_count = self.sent_count.wrapping_add(1);
         self.drain.record(now, pending.cost, !self.queue.is_empty());
         let upstream = &mut self.upstreams[index];
         upstream.on_sent(now, work);
@@ -234,49 +243,51 @@
 
     /// Updates the state from the end of an attempt. If the upstream returned a failure, returns
     /// what it is attributed to.
-    pub(super) fn settle(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
         settings: &RouterSettings,
         pending: &Pending,
         running: &Running,
         end: AttemptEnd,
-    ) -> Option<Fault> {
+    ) -> Option<FailureCause> {
         self.release(running);
         let fingerprint = pending.meta.fingerprint;
         match end {
             AttemptEnd::Completed { output_tokens } => {
-                self.failing.note_completion(fingerprint);
-                self.learn(now, pending, running, output_tokens);
+                self.failing.record_completion(fingerprint);
+                self.record_attempt_completion(now, pending, running, output_tokens);
                 self.eject_if_slow(now, settings, &running.upstream);
             }
             AttemptEnd::NotSent | AttemptEnd::Lost => {
                 if let Some(upstream) = self.upstream_mut(&running.upstream) {
-                    upstream.contradict(now);
+                    upstream.invalidate_evidence(now);
                 }
-                self.blame(now, settings, &running.upstream);
+                self.record_upstream_failure(now, settings, &running.upstream);
             }
             AttemptEnd::Refused => {
                 if let Some(upstream) = self.upstream_mut(&running.upstream) {
-                    upstream.contradict(now);
+                    upstream.invalidate_evidence(now);
                 }
             }
             // An error of the caller, not of the upstream.
             AttemptEnd::Failed { status } if status < FIRST_SERVER_ERROR => {}
             AttemptEnd::Failed { .. } => {
                 let upstream = &running.upstream;
-                let fault = self.failing.note_failure(now, fingerprint, upstream);
-                if fault == Fault::OfUpstream {
-                    self.blame(now, settings, upstream);
+                let cause = self.failing.record_failure(now, fingerprint, upstream);
+                if cause == FailureCause::Upstream {
+                    self.record_upstream_failure(now, settings, upstream);
                 }
-                return Some(fault);
+                return Some(cause);
+            }
+            AttemptEnd::WrongAnswer => {
+                self.record_upstream_failure(now, settings, &running.upstream)
             }
-            AttemptEnd::WrongAnswer => self.blame(now, settings, &running.upstream),
         }
         None
     }
 
-    pub(super) fn learn(
+    pub(super) fn record_attempt_completion(
         &mut self,
         now: Timestamp,
         pending: &Pending,
@@ -298,9 +309,9 @@
         let wanted = f64::from(pending.meta.max_output_tokens);
         if tokens > 0 && wanted > 0.0 {
             const SMOOTHING: f64 = 0.02;
-            let part = (f64::from(tokens) / wanted).min(1.0);
-            let known = self.output_part.unwrap_or(FIRST_OUTPUT_PART);
-            self.output_part = Some(known + SMOOTHING * (part - known));
+            let fraction = (f64::from(tokens) / wanted).min(1.0);
+            let known = self.output_fraction.unwrap_or(INITIAL_OUTPUT_FRACTION);
+            self.output_fraction = Some(known + SMOOTHING * (fraction - known));
             let actual = f64::from(pending.meta.prompt_tokens) + f64::from(tokens) + 1.0;
             self.queue
                 .correct(&pending.meta.customer, pending.cost, actual);
@@ -308,7 +319,12 @@
     }
 
     /// Records a failure of an upstream, and ejects it if that is due and enough others remain.
-    pub(super) fn blame(&mut self, now: Timestamp, settings: &RouterSettings, id: &UpstreamId) {
+    pub(super) fn record_upstream_failure(
+        &mut self,
+        now: Timestamp,
+        settings: &RouterSettings,
+        id: &UpstreamId,
+    ) {
         let may_eject = self.may_eject(now, settings);
         let Some(upstream) = self.upstream_mut(id) else {
             return;
--- a/shalehinge/src/core/router/topology.rs
+++ b/shalehinge/src/core/router/topology.rs
@@ -18,10 +18,10 @@
 /// The considered upstreams by target.
 pub type Topology = BTreeMap<Target, Vec<UpstreamSpec>>;
 
-/// Builds the topology of the daemon `me` in this failure domain.
+/// Builds the topology of a daemon in failure domain `domain`.
 pub fn build(
     state: &FleetState,
-    me: &DaemonId,
+    daemon: &DaemonId,
     domain: &FailureDomain,
     settings: &RouterSettings,
 ) -> Topology {
@@ -32,7 +32,7 @@
     for model in fleet.value.models.keys().chain(fleet.value.profiles.keys()) {
         topology.insert(Target::Model(model.clone()), Vec::new());
     }
-    let mut by_target = replicas(state, domain);
+    let mut by_target = assigned_replicas(state, domain);
     for (target, specs) in listed_replicas(state, domain) {
         by_target.entry(target).or_default().extend(specs);
     }
@@ -40,7 +40,7 @@
         let Some(entry) = topology.get_mut(&target) else {
             continue;
         };
-        *entry = subset(specs, me, settings);
+        *entry = subset(specs, daemon, settings);
     }
     for (name, service) in &fleet.value.services {
         let configured = service.upstreams.iter().map(|upstream| UpstreamSpec {
@@ -126,7 +126,10 @@
     replicas
 }
 
-fn replicas(state: &FleetState, domain: &FailureDomain) -> BTreeMap<Target, Vec<UpstreamSpec>> {
+fn assigned_replicas(
+    state: &FleetState,
+    domain: &FailureDomain,
+) -> BTreeMap<Target, Vec<UpstreamSpec>> {
     let mut replicas: BTreeMap<Target, Vec<UpstreamSpec>> = BTreeMap::new();
     for (group_domain, assignment) in state.assignments() {
         for (number, group) in &assignment.value.groups {
@@ -178,15 +181,19 @@
     draining || is_listed_leaving(state, host)
 }
 
-fn subset(specs: Vec<UpstreamSpec>, me: &DaemonId, settings: &RouterSettings) -> Vec<UpstreamSpec> {
+fn subset(
+    specs: Vec<UpstreamSpec>,
+    daemon: &DaemonId,
+    settings: &RouterSettings,
+) -> Vec<UpstreamSpec> {
     let (remote, local): (Vec<_>, Vec<_>) = specs.into_iter().partition(|spec| spec.remote);
-    let mut chosen = top_by_hash(local, me, settings.local_candidates);
-    chosen.extend(top_by_hash(remote, me, settings.remote_candidates));
+    let mut chosen = top_by_hash(local, daemon, settings.local_candidates);
+    chosen.extend(top_by_hash(remote, daemon, settings.remote_candidates));
     chosen
 }
 
-fn top_by_hash(specs: Vec<UpstreamSpec>, me: &DaemonId, count: usize) -> Vec<UpstreamSpec> {
-    let chosen: Vec<UpstreamId> = hash::top(me, specs.iter().map(|spec| &spec.id), count)
+fn top_by_hash(specs: Vec<UpstreamSpec>, daemon: &DaemonId, count: usize) -> Vec<UpstreamSpec> {
+    let chosen: Vec<UpstreamId> = hash::top(daemon, specs.iter().map(|spec| &spec.id), count)
         .into_iter()
         .cloned()
         .collect();
--- a/shalehinge/src/core/router/trying.rs
+++ b/shalehinge/src/core/router/trial.rs
@@ -17,7 +17,7 @@
 /// How long a request waits for a trial before its caller is told to retry later.
 const TRIAL_WAIT: Duration = Duration::from_millis(500);
 /// Maximum number of candidate upstreams named in a trial request.
-const MOST_CANDIDATES: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 /// Outcome of a suspected request that got no trial.
 pub(super) const NO_TRIAL: Outcome = Outcome::NotRun {
@@ -31,7 +31,7 @@
     /// The request is not known to be suspected.
     None,
     /// A trial was requested; without one, the request is refused at `until`.
-    Asked {
+    Requested {
         /// When the request is refused.
         until: Timestamp,
     },
@@ -53,21 +53,21 @@
             return;
         };
         let eligible = state.upstreams.iter().filter(|u| u.may_be_sent(now));
-        let candidates = eligible.choose_multiple(rng, MOST_CANDIDATES);
-        let question = TrialRequest {
+        let candidates = eligible.choose_multiple(rng, MAX_CANDIDATES);
+        let trial_request = TrialRequest {
             fingerprint: pending.meta.fingerprint,
             target: pending.meta.target.clone(),
             candidates: candidates.iter().map(|u| u.spec.id.clone()).collect(),
         };
         out.push(RouterAction::Log(format!(
             "request {} may crash upstreams; requests a trial of {}",
-            request.0, question.fingerprint
+            request.0, trial_request.fingerprint
         )));
-        pending.trial = TrialState::Asked {
+        pending.trial = TrialState::Requested {
             until: now + TRIAL_WAIT,
         };
         self.pending.insert(request, pending);
-        out.push(RouterAction::AskTrial(question));
+        out.push(RouterAction::RequestTrial(trial_request));
     }
 
     /// Handles a granted trial.
@@ -79,8 +79,8 @@
         out: &mut Vec<RouterAction>,
     ) {
         let is_held = |pending: &Pending| {
-            let asked = matches!(pending.trial, TrialState::Asked { .. });
-            asked && pending.meta.fingerprint == grant.fingerprint
+            let is_requested = matches!(pending.trial, TrialState::Requested { .. });
+            is_requested && pending.meta.fingerprint == grant.fingerprint
         };
         let held = self
             .pending
@@ -103,29 +103,31 @@
     }
 
     /// Refuses requests that got no trial in time, and queues those that have been cleared.
-    pub(super) fn check_held(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
+    pub(super) fn update_held(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let (quarantine, settings) = (&self.quarantine, &self.settings);
-        self.tried
-            .retain(|asked, _| quarantine.held(now, *asked, settings).is_some());
+        self.trial_upstreams
+            .retain(|fingerprint, _| quarantine.active(now, *fingerprint, settings).is_some());
         let held: Vec<(RequestId, Timestamp, Fingerprint)> = self
             .pending
             .iter()
             .filter_map(|(request, pending)| match pending.trial {
-                TrialState::Asked { until } => Some((*request, until, pending.meta.fingerprint)),
+                TrialState::Requested { until } => {
+                    Some((*request, until, pending.meta.fingerprint))
+                }
                 TrialState::None | TrialState::At(_) => None,
             })
             .collect();
         for (request, until, fingerprint) in held {
             let is_cleared = self.quarantined_for(now, fingerprint).is_none();
             if is_cleared {
-                self.release_held(request);
+                self.enqueue_cleared(request);
             } else if now >= until {
                 self.answer(request, NO_TRIAL, out);
             }
         }
     }
 
-    fn release_held(&mut self, request: RequestId) {
+    fn enqueue_cleared(&mut self, request: RequestId) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
@@ -137,7 +139,7 @@
     }
 
     /// Whether the lost request was on trial at that upstream.
-    pub(super) fn was_tried(&self, loss: &Loss) -> bool {
-        self.tried.get(&loss.fingerprint) == Some(&loss.upstream)
+    pub(super) fn was_on_trial(&self, loss: &Loss) -> bool {
+        self.trial_upstreams.get(&loss.fingerprint) == Some(&loss.upstream)
     }
 }
--- a/shalehinge/src/core/router/upstream.rs
+++ b/shalehinge/src/core/router/upstream.rs
@@ -11,16 +11,16 @@
 use super::cooldown::Cooldown;
 use super::estimate::SmoothedDuration;
 use super::leaving::LeavingState;
-use super::named::LimitState;
+use super::limit_state::LimitState;
 use super::outlier::OutlierState;
 use super::prefix::PrefixHints;
 use super::request::UpstreamId;
 
 /// Fraction of the KV cache that reservations may fill; the rest allows for estimates that are
 /// too low.
-const KV_FILL: f64 = 0.95;
+const KV_FILL_LIMIT: f64 = 0.95;
 /// Number of requests a replica may be sent before its first report.
-const FIRST_ALLOWANCE: f64 = 2.0;
+const INITIAL_ALLOWANCE: f64 = 2.0;
 
 /// How long a listed upstream gets no new requests after a failure or refusal.
 const BACKOFF: Duration = Duration::from_millis(250);
@@ -28,20 +28,20 @@
 const STALL_BACKOFF: Duration = Duration::from_secs(3);
 
 /// Factor applied to `suspect_after` while no request on the upstream has produced output.
-const UNSEEN_SUSPICION: f64 = 2.5;
+const NO_OUTPUT_SUSPECT_FACTOR: f64 = 2.5;
 /// Factor applied to `stall_after` while no request on the upstream has produced output: the
 /// requests may be queued at a busy upstream, and moving them would add to the load.
-const UNSEEN_PATIENCE: f64 = 4.0;
+const NO_OUTPUT_STALL_FACTOR: f64 = 4.0;
 
 /// Smoothing weight of a report's figures, by their age.
 fn smoothing(age_ms: Option<u64>) -> f64 {
     /// Figures up to this age, in ms, are used unsmoothed.
     const FRESH_MS: f64 = 100.0;
     /// Weight of figures of unknown age, and the minimum weight.
-    const LEAST: f64 = 0.04;
+    const MIN_WEIGHT: f64 = 0.04;
     match age_ms {
-        Some(age) => (FRESH_MS / age as f64).clamp(LEAST, 1.0),
-        None => LEAST,
+        Some(age) => (FRESH_MS / age as f64).clamp(MIN_WEIGHT, 1.0),
+        None => MIN_WEIGHT,
     }
 }
 
@@ -118,7 +118,7 @@
     next_report_at: Timestamp,
     report_asked: bool,
     complete_until: Timestamp,
-    contradicted_at: Option<Timestamp>,
+    evidence_invalidated_at: Option<Timestamp>,
     /// The group was shown to be complete, and nothing has contradicted it since.
     was_complete: bool,
     /// When a group that was complete was first found to be incomplete or suspect.
@@ -126,15 +126,15 @@
     in_flight: u32,
     kv_in_flight: f64,
     /// Requests of other daemons in flight there, smoothed over reports.
-    others: Option<f64>,
+    others_in_flight: Option<f64>,
     allowance: f64,
     ramp: f64,
     kv_since_report: f64,
-    sharers: usize,
+    daemon_count: usize,
     /// After a failure, a listed upstream gets no new requests until this time.
     backoff_until: Timestamp,
     /// When any request there last made progress, or began to wait for it.
-    moved_at: Timestamp,
+    last_progress_at: Timestamp,
     /// When any request there last produced output.
     output_at: Option<Timestamp>,
     /// Requests are running there, and none has made progress for too long.
@@ -160,18 +160,18 @@
             next_report_at: Timestamp::ZERO,
             report_asked: false,
             complete_until: Timestamp::ZERO,
-            contradicted_at: None,
+            evidence_invalidated_at: None,
             was_complete: false,
             suspect_since: None,
             in_flight: 0,
             kv_in_flight: 0.0,
-            others: None,
-            allowance: FIRST_ALLOWANCE,
-            ramp: FIRST_ALLOWANCE,
+            others_in_flight: None,
+            allowance: INITIAL_ALLOWANCE,
+            ramp: INITIAL_ALLOWANCE,
             kv_since_report: 0.0,
-            sharers: 1,
+            daemon_count: 1,
             backoff_until: Timestamp::ZERO,
-            moved_at: Timestamp::ZERO,
+            last_progress_at: Timestamp::ZERO,
             output_at: None,
             stalled: false,
             lost: false,
@@ -187,8 +187,8 @@
             self.in_flight = known.in_flight;
             self.kv_in_flight = known.kv_in_flight;
             self.streaming = known.streaming;
-            self.sharers = known.sharers;
-            self.moved_at = known.moved_at;
+            self.daemon_count = known.daemon_count;
+            self.last_progress_at = known.last_progress_at;
             return;
         }
         self.spec = spec;
@@ -219,13 +219,13 @@
 
     /// Records the definite loss of a member. This state is final: a new group of the same hosts
     /// has another number.
-    pub fn on_lost(&mut self) {
+    pub fn mark_lost(&mut self) {
         self.lost = true;
     }
 
     /// The time before which the upstream gets no requests because of a cooldown, a failure or an
     /// ejection; `None` if it may get requests now.
-    pub fn held_back_until(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn unavailable_until(&self, now: Timestamp) -> Option<Timestamp> {
         let cooldown = self.cooldown.blocked_until(now);
         let backoff = Some(self.backoff_until).filter(|until| now < *until);
         let ejection = self.outlier.ejected_until(now);
@@ -267,13 +267,13 @@
         true
     }
 
-    /// Handles a report requested at `asked_at`. `sharers` is the number of daemons that send to
+    /// Handles a report requested at `asked_at`. `daemon_count` is the number of daemons that send to
     /// the upstream.
     pub fn on_report(
         &mut self,
         asked_at: Timestamp,
         status: &EngineStatus,
-        sharers: usize,
+        daemon_count: usize,
         settings: &RouterSettings,
     ) {
         self.report_asked = false;
@@ -281,11 +281,11 @@
             return;
         };
         let seen_at = asked_at.minus(Duration::from_millis(status.members_age_ms));
-        if self.contradicted_at.is_some_and(|at| seen_at <= at) {
+        if self.evidence_invalidated_at.is_some_and(|at| seen_at <= at) {
             return;
         }
         if !status.shows_complete(group) {
-            self.contradict(asked_at);
+            self.invalidate_evidence(asked_at);
             return;
         }
         self.complete_until = self.complete_until.max(seen_at + settings.evidence_ttl);
@@ -293,28 +293,28 @@
         self.suspect_since = None;
         let newer = self.report.is_none_or(|known| asked_at > known.asked_at);
         if newer {
-            self.take_load(asked_at, status.load, sharers, settings);
+            self.apply_load_report(asked_at, status.load, daemon_count, settings);
         }
     }
 
-    fn take_load(
+    fn apply_load_report(
         &mut self,
         asked_at: Timestamp,
         load: EngineLoad,
-        sharers: usize,
+        daemon_count: usize,
         settings: &RouterSettings,
     ) {
         self.report = Some(Report { load, asked_at });
         self.kv_since_report = 0.0;
         let own = f64::from(self.in_flight);
-        let others = f64::from(load.running + load.waiting) - own;
-        self.note_others(others, smoothing(load.age_ms));
+        let others_in_flight = f64::from(load.running + load.waiting) - own;
+        self.smooth_others(others_in_flight, smoothing(load.age_ms));
         let limit = f64::from(load.slots) * (1.0 + settings.engine_backlog);
-        let outstanding = own + self.others.unwrap_or_default();
+        let outstanding = own + self.others_in_flight.unwrap_or_default();
         let free = limit - outstanding;
         self.ramp = (self.ramp * 2.0).min(limit);
         let allowance = if free > 0.0 {
-            own + (free / sharers.max(1) as f64).ceil()
+            own + (free / daemon_count.max(1) as f64).ceil()
         } else {
             // The upstream is overcommitted: each daemon reduces its allowance in proportion.
             own + free * own / outstanding.max(1.0)
@@ -326,20 +326,20 @@
     /// old as the report, while this daemon's own share is always known exactly. Without
     /// smoothing, all daemons would react to the same outdated figures at once and oscillate
     /// together.
-    fn note_others(&mut self, others: f64, smoothing: f64) {
-        let known = self.others.unwrap_or(others);
-        self.others = Some((known + smoothing * (others - known)).max(0.0));
+    fn smooth_others(&mut self, others_in_flight: f64, smoothing: f64) {
+        let known = self.others_in_flight.unwrap_or(others_in_flight);
+        self.others_in_flight = Some((known + smoothing * (others_in_flight - known)).max(0.0));
     }
 
     /// Records that a report request failed.
     pub fn on_report_failed(&mut self, now: Timestamp) {
         self.report_asked = false;
-        self.contradict(now);
+        self.invalidate_evidence(now);
     }
 
     /// Records evidence that the upstream cannot serve; only newer evidence makes it eligible
     /// again.
-    pub fn contradict(&mut self, now: Timestamp) {
+    pub fn invalidate_evidence(&mut self, now: Timestamp) {
         if self.was_complete {
             self.was_complete = false;
             self.suspect_since = Some(now);
@@ -349,20 +349,20 @@
             self.backoff_until = now + BACKOFF;
             return;
         }
-        self.contradicted_at = Some(now);
-        self.ramp = FIRST_ALLOWANCE;
-        self.allowance = FIRST_ALLOWANCE;
+        self.evidence_invalidated_at = Some(now);
+        self.ramp = INITIAL_ALLOWANCE;
+        self.allowance = INITIAL_ALLOWANCE;
         self.prefixes.clear();
     }
 
     /// Whether the upstream was complete until recently, so that the lease holder of its failure
     /// domain should check it.
     pub fn is_suspect(&self, now: Timestamp) -> bool {
-        const TOLD_FOR: Duration = Duration::from_secs(5);
+        const SUSPECT_RETENTION: Duration = Duration::from_secs(5);
         self.spec.accepts_new
             && self
                 .suspect_since
-                .is_some_and(|at| now.since(at) < TOLD_FOR)
+                .is_some_and(|at| now.since(at) < SUSPECT_RETENTION)
     }
 
     /// Whether there is room for one more request of this daemon.
@@ -374,7 +374,7 @@
             return self.in_flight == 0;
         }
         if self.spec.evidence == Evidence::Listed {
-            return self.in_flight < self.own_limit(settings);
+            return self.in_flight < self.concurrency_limit(settings);
         }
         let slot = f64::from(self.in_flight) < self.allowance;
         slot && (!settings.reserve_kv || self.has_kv_room(work))
@@ -382,18 +382,18 @@
 
     /// Maximum number of this daemon's concurrent requests to a listed upstream. Other daemons
     /// send there too, but unevenly, so an even share is multiplied by a factor.
-    fn own_limit(&self, settings: &RouterSettings) -> u32 {
+    fn concurrency_limit(&self, settings: &RouterSettings) -> u32 {
         let Some(slots) = self.spec.slots else {
             return settings.service_concurrency;
         };
-        let whole = f64::from(slots) * (1.0 + settings.engine_backlog);
-        let part = whole * settings.uneven_share / self.sharers.max(1) as f64;
-        part.ceil().clamp(1.0, whole.ceil()) as u32
+        let capacity = f64::from(slots) * (1.0 + settings.engine_backlog);
+        let share = capacity * settings.uneven_share / self.daemon_count.max(1) as f64;
+        share.ceil().clamp(1.0, capacity.ceil()) as u32
     }
 
     /// Sets the number of daemons that send to this upstream.
-    pub fn set_sharers(&mut self, sharers: usize) {
-        self.sharers = sharers;
+    pub fn set_daemon_count(&mut self, daemon_count: usize) {
+        self.daemon_count = daemon_count;
     }
 
     /// Records the first output of a request.
@@ -414,7 +414,7 @@
 
     /// Restarts the time without progress at `now`.
     pub fn restart_stall_clock(&mut self, now: Timestamp) {
-        self.moved_at = now;
+        self.last_progress_at = now;
         self.stalled = false;
         if self.spec.evidence == Evidence::Listed {
             self.suspect_since = None;
@@ -430,16 +430,16 @@
             return false;
         }
         // Requests without output may still be queued at the upstream.
-        let (suspicion, patience) = if self.streaming > 0 {
+        let (suspect_factor, stall_factor) = if self.streaming > 0 {
             (1.0, 1.0)
         } else {
-            (UNSEEN_SUSPICION, UNSEEN_PATIENCE)
+            (NO_OUTPUT_SUSPECT_FACTOR, NO_OUTPUT_STALL_FACTOR)
         };
-        let stands_for = now.since(self.moved_at);
-        if stands_for >= settings.suspect_after.mul_f64(suspicion) {
+        let stalled_for = now.since(self.last_progress_at);
+        if stalled_for >= settings.suspect_after.mul_f64(suspect_factor) {
             self.suspect_since = Some(now);
         }
-        self.stalled = stands_for >= settings.stall_after.mul_f64(patience);
+        self.stalled = stalled_for >= settings.stall_after.mul_f64(stall_factor);
         self.stalled
     }
 
@@ -449,15 +449,15 @@
         let Some(report) = self.report.filter(|report| report.load.kv_total > 0) else {
             return true;
         };
-        let fill = report.load.kv_total as f64 * KV_FILL;
+        let usable = report.load.kv_total as f64 * KV_FILL_LIMIT;
         let used = (report.load.kv_used as f64 + self.kv_since_report).max(self.kv_in_flight);
-        self.in_flight == 0 || used + work.kv_peak <= fill
+        self.in_flight == 0 || used + work.kv_peak <= usable
     }
 
     /// Records that a request was sent.
     pub fn on_sent(&mut self, now: Timestamp, work: Work) {
         if self.in_flight == 0 {
-            self.moved_at = now;
+            self.last_progress_at = now;
         }
         self.limit.on_sent();
         self.cooldown.on_sent(now);
@@ -475,7 +475,9 @@
             // No request is left there that could show progress, so a later request will test the
             // upstream after a delay.
             self.stalled = false;
-            self.backoff_until = self.backoff_until.max(self.moved_at + STALL_BACKOFF);
+            self.backoff_until = self
+                .backoff_until
+                .max(self.last_progress_at + STALL_BACKOFF);
         }
         self.kv_in_flight = (self.kv_in_flight - work.kv_peak).max(0.0);
         self.kv_since_report -= work.kv_peak;
@@ -486,8 +488,8 @@
     pub fn load(&self, settings: &RouterSettings) -> f64 {
         let own = f64::from(self.in_flight);
         let Some(report) = self.report.filter(|report| report.load.slots > 0) else {
-            return own / f64::from(self.own_limit(settings).max(1));
+            return own / f64::from(self.concurrency_limit(settings).max(1));
         };
-        (own + self.others.unwrap_or_default()) / f64::from(report.load.slots)
+        (own + self.others_in_flight.unwrap_or_default()) / f64::from(report.load.slots)
     }
 }
--- a/shalehinge/src/core/router/wait_queue.rs
+++ b/shalehinge/src/core/router/wait_queue.rs
@@ -9,7 +9,7 @@
 
 use crate::core::types::{Customer, RequestId, Timestamp};
 
-use super::queue::{FairQueue, Waiting};
+use super::queue::{FairQueue, QueuedRequest};
 
 /// A queue with two classes.
 #[derive(Clone, Debug, Default)]
@@ -30,13 +30,13 @@
     }
 
     /// Adds a request of a customer with this share.
-    pub fn push(&mut self, customer: &Customer, share: u32, waiting: Waiting) {
+    pub fn push(&mut self, customer: &Customer, share: u32, waiting: QueuedRequest) {
         self.timely.push(customer, share, waiting);
     }
 
     /// Returns the next request without removing it. Requests that have become late are first
     /// moved to the second class, where they wait for at most `max_wait`.
-    pub fn peek(&mut self, now: Timestamp, max_wait: Duration) -> Option<&Waiting> {
+    pub fn peek(&mut self, now: Timestamp, max_wait: Duration) -> Option<&QueuedRequest> {
         while let Some((customer, share, mut waiting)) = self.timely.take_overdue(now) {
             waiting.deadline = waiting.deadline.min(now + max_wait);
             self.overdue.push(&customer, share, waiting);
@@ -45,19 +45,19 @@
     }
 
     /// Removes and returns the next request.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
         self.timely.pop().or_else(|| self.overdue.pop())
     }
 
     /// Removes a request at any position.
-    pub fn remove(&mut self, customer: &Customer, request: RequestId) -> Option<Waiting> {
+    pub fn remove(&mut self, customer: &Customer, request: RequestId) -> Option<QueuedRequest> {
         let timely = self.timely.remove(customer, request);
         timely.or_else(|| self.overdue.remove(customer, request))
     }
 
     /// Removes a request of the customer with the highest queued cost relative to its share, from
     /// the late class if that has any.
-    pub fn evict(&mut self) -> Option<Waiting> {
+    pub fn evict(&mut self) -> Option<QueuedRequest> {
         self.overdue.evict().or_else(|| self.timely.evict())
     }
 
@@ -76,8 +76,8 @@
 
     /// Cost in tokens queued ahead of a new request of this customer that is not late, and the
     /// fraction of the target's capacity that the customer gets while all customers wait.
-    pub fn ahead(&self, customer: &Customer, share: u32) -> (f64, f64) {
-        self.timely.ahead(customer, share)
+    pub fn queued_ahead(&self, customer: &Customer, share: u32) -> (f64, f64) {
+        self.timely.queued_ahead(customer, share)
     }
 
     /// Discards the state of idle customers, to bound memory.
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -160,7 +160,7 @@
         let router = core.router();
         let limited = router.limited_upstreams();
         let limits = limited.map(|(upstream, rate)| format!("limit.{upstream} {rate}"));
-        let cooling = router.cooling_upstreams(now);
+        let cooling = router.upstreams_in_cooldown(now);
         let cooldowns = cooling.map(|(upstream, left)| {
             let seconds = left.as_secs_f64();
             format!("cooldown_seconds.{upstream} {seconds:.3}")
--- a/shalehinge/tests/listed_routing.rs
+++ b/shalehinge/tests/listed_routing.rs
@@ -107,7 +107,8 @@
             panic!("no replica");
         };
         let mut out = Vec::new();
-        self.router.lose(self.now, replica, &mut self.rng, &mut out);
+        self.router
+            .on_replica_lost(self.now, replica, &mut self.rng, &mut out);
         self.take(out);
     }
 
@@ -186,9 +187,9 @@
                     );
                     self.take(out);
                 }
-                RouterAction::AskTrial(_)
-                | RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
+                RouterAction::RequestTrial(_)
+                | RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
                 | RouterAction::Log(_) => {}
             }
         }
@@ -319,7 +320,7 @@
 fn a_key_counts_only_as_long_as_the_configuration_is_confirmed() {
     let mut harness = Harness::with_replicas(1);
     let until = harness.now + Duration::from_secs(1);
-    harness.router.set_keys_until(Some(until));
+    harness.router.set_keys_valid_until(Some(until));
     harness.submit(1, keyed());
     assert_eq!(harness.last(1).valid_until, until, "nor is it sent later");
     harness.now = until;
@@ -409,7 +410,7 @@
     harness
         .router
         .set_topology(Topology::from([(target(), specs)]));
-    harness.router.set_sharers(9);
+    harness.router.set_daemon_count(9);
     let endless = RequestMeta {
         max_attempts: None,
         ..stream()
--- a/shalehinge/tests/named_limit.rs
+++ b/shalehinge/tests/named_limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shalehinge::core::named_limit::{NamedLimit, RequestRate};
-use shalehinge::core::router::named::{LimitChange, LimitState};
+use shalehinge::core::router::limit_state::{LimitChange, LimitState};
 use shalehinge::core::types::Timestamp;
 
 fn rate(value: f64) -> RequestRate {
@@ -56,24 +56,24 @@
 fn a_limit_begins_changes_and_ends_with_a_line_each() {
     let mut state = LimitState::default();
     let named = |value| NamedLimit::Rate(rate(value));
-    assert_eq!(state.hear(at(1), at(0), NamedLimit::None), None);
+    assert_eq!(state.on_answer(at(1), at(0), NamedLimit::None), None);
     assert_eq!(
-        state.hear(at(2), at(1), named(1.4)),
+        state.on_answer(at(2), at(1), named(1.4)),
         Some(LimitChange::Begins(rate(1.4)))
     );
-    assert_eq!(state.hear(at(3), at(2), named(1.4)), None);
+    assert_eq!(state.on_answer(at(3), at(2), named(1.4)), None);
     assert_eq!(
-        state.hear(at(4), at(3), named(1.45)),
+        state.on_answer(at(4), at(3), named(1.45)),
         None,
         "nearly the same"
     );
     assert_eq!(
-        state.hear(at(5), at(4), named(0.7)),
+        state.on_answer(at(5), at(4), named(0.7)),
         Some(LimitChange::Changes(rate(0.7)))
     );
     assert_eq!(state.rate(), Some(rate(0.7)));
     assert_eq!(
-        state.hear(at(7), at(6), NamedLimit::None),
+        state.on_answer(at(7), at(6), NamedLimit::None),
         Some(LimitChange::Ends)
     );
     assert_eq!(state.rate(), None);
@@ -82,8 +82,8 @@
 #[test]
 fn an_answer_to_a_request_from_before_a_limit_ends_nothing() {
     let mut state = LimitState::default();
-    state.hear(at(5), at(4), NamedLimit::Rate(rate(1.0)));
-    assert_eq!(state.hear(at(6), at(4), NamedLimit::None), None);
+    state.on_answer(at(5), at(4), NamedLimit::Rate(rate(1.0)));
+    assert_eq!(state.on_answer(at(6), at(4), NamedLimit::None), None);
     assert!(state.rate().is_some());
 }
 
@@ -91,8 +91,8 @@
 fn what_cannot_be_read_changes_nothing_and_makes_one_line() {
     let mut state = LimitState::default();
     let garbled = || NamedLimit::Unreadable("x".to_owned());
-    state.hear(at(1), at(0), NamedLimit::Rate(rate(1.0)));
-    assert!(state.hear(at(2), at(1), garbled()).is_some());
-    assert_eq!(state.hear(at(3), at(2), garbled()), None);
+    state.on_answer(at(1), at(0), NamedLimit::Rate(rate(1.0)));
+    assert!(state.on_answer(at(2), at(1), garbled()).is_some());
+    assert_eq!(state.on_answer(at(3), at(2), garbled()), None);
     assert_eq!(state.rate(), Some(rate(1.0)));
 }
--- a/shalehinge/tests/quarantine.rs
+++ b/shalehinge/tests/quarantine.rs
@@ -50,7 +50,7 @@
 impl Known {
     fn lose(&mut self, upstream: u64, seconds: u64) -> bool {
         let loss = loss(upstream, seconds);
-        self.quarantine.note_loss(loss, &self.settings)
+        self.quarantine.record_loss(loss, &self.settings)
     }
 
     fn is_quarantined(&self, seconds: u64) -> bool {
@@ -79,11 +79,15 @@
 fn a_crash_that_several_daemons_tell_of_counts_once() {
     let mut known = Known::default();
     known.lose(1, 10);
-    let told = known.quarantine.learn_loss(loss(1, 10), &known.settings);
+    let told = known
+        .quarantine
+        .apply_remote_loss(loss(1, 10), &known.settings);
     assert!(!told);
     assert!(!known.is_quarantined(11));
     // An instance that returned under the same name and crashed again.
-    let again = known.quarantine.learn_loss(loss(1, 15), &known.settings);
+    let again = known
+        .quarantine
+        .apply_remote_loss(loss(1, 15), &known.settings);
     assert!(again);
 }
 
@@ -99,11 +103,11 @@
 fn what_an_upstream_answers_since_counts_anew() {
     let mut known = Known::default();
     known.lose(1, 10);
-    known.quarantine.note_completion(completion(11));
+    known.quarantine.record_completion(completion(11));
     assert!(!known.lose(2, 12));
     assert!(known.lose(3, 13));
     assert!(
-        known.quarantine.note_completion(completion(14)),
+        known.quarantine.record_completion(completion(14)),
         "the quarantine must end"
     );
     assert!(!known.is_quarantined(15));
@@ -113,27 +117,35 @@
 fn a_daemon_that_had_an_answer_since_the_first_loss_objects_to_a_quarantine() {
     let mut witness = Known::default();
     let mut served = Known::default();
-    served.quarantine.note_completion(completion(15));
+    served.quarantine.record_completion(completion(15));
     witness.lose(1, 10);
     witness.lose(2, 20);
-    let news = witness.quarantine.take_news();
-    assert!(!served.quarantine.learn_quarantined(news.quarantined[0]));
+    let update = witness.quarantine.take_update();
+    assert!(
+        !served
+            .quarantine
+            .apply_remote_quarantine(update.quarantined[0])
+    );
     assert!(!served.is_quarantined(21));
-    let objection = served.quarantine.take_news().completions;
+    let objection = served.quarantine.take_update().completions;
     assert_eq!(objection, [completion(15)]);
-    assert!(witness.quarantine.learn_completion(objection[0]));
+    assert!(witness.quarantine.apply_remote_completion(objection[0]));
     assert!(!witness.is_quarantined(21));
 }
 
 #[test]
 fn an_answer_from_before_the_losses_is_no_objection() {
     let mut known = Known::default();
-    known.quarantine.note_completion(completion(9));
+    known.quarantine.record_completion(completion(9));
     let mut witness = Known::default();
     witness.lose(1, 10);
     witness.lose(2, 20);
-    let news = witness.quarantine.take_news();
-    assert!(known.quarantine.learn_quarantined(news.quarantined[0]));
+    let update = witness.quarantine.take_update();
+    assert!(
+        known
+            .quarantine
+            .apply_remote_quarantine(update.quarantined[0])
+    );
     assert!(known.is_quarantined(21));
 }
 
@@ -144,7 +156,7 @@
     for upstream in 1..10 {
         assert!(!known.lose(upstream, upstream));
     }
-    assert!(known.quarantine.take_news().is_empty());
+    assert!(known.quarantine.take_update().is_empty());
 }
 
 #[test]
@@ -155,14 +167,14 @@
             fingerprint: Fingerprint(number),
             ..loss(1, number)
         };
-        known.quarantine.note_loss(loss, &known.settings);
-        known.quarantine.take_news();
+        known.quarantine.record_loss(loss, &known.settings);
+        known.quarantine.take_update();
     }
     let last = Loss {
         fingerprint: Fingerprint(9_999),
         ..loss(2, 10_000)
     };
-    assert!(known.quarantine.note_loss(last, &known.settings));
+    assert!(known.quarantine.record_loss(last, &known.settings));
 }
 
 #[test]
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use shalehinge::core::engine::{EngineLoad, EnginePhase, EngineStatus};
 use shalehinge::core::fingerprint::Fingerprint;
-use shalehinge::core::router::quarantine::{Completion, QuarantineNews};
+use shalehinge::core::router::quarantine::{Completion, QuarantineUpdate};
 use shalehinge::core::router::request::{
     Attempt, AttemptEnd, Outcome, RequestMeta, Target, UpstreamId,
 };
@@ -222,12 +222,12 @@
             fingerprint: Fingerprint(asks),
             at: self.now,
         };
-        let news = QuarantineNews {
+        let update = QuarantineUpdate {
             completions: vec![completion],
-            ..QuarantineNews::default()
+            ..QuarantineUpdate::default()
         };
         let mut out = Vec::new();
-        self.router.learn_quarantine(news, &mut out);
+        self.router.apply_quarantine_update(update, &mut out);
         self.take(out);
     }
 
@@ -291,7 +291,7 @@
                     );
                     self.take(out);
                 }
-                RouterAction::AskTrial(question) if self.grants_trials => {
+                RouterAction::RequestTrial(question) if self.grants_trials => {
                     let grant = TrialGrant {
                         fingerprint: question.fingerprint,
                         upstream: question.candidates[0].clone(),
@@ -302,9 +302,9 @@
                     self.take(out);
                 }
                 RouterAction::Abandon(_)
-                | RouterAction::AskTrial(_)
-                | RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
+                | RouterAction::RequestTrial(_)
+                | RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
                 | RouterAction::Log(_) => {}
             }
         }
--- a/shalehinge/tests/signal_fuzz.rs
+++ b/shalehinge/tests/signal_fuzz.rs
@@ -174,9 +174,9 @@
                         .on_upstream_checked(now, &upstream, false, &mut self.rng, &mut out);
                     self.take(out);
                 }
-                RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
-                | RouterAction::AskTrial(_)
+                RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
+                | RouterAction::RequestTrial(_)
                 | RouterAction::Log(_) => {}
             }
         }
--- a/standin/src/experiment/fleet.rs
+++ b/standin/src/experiment/fleet.rs
@@ -227,7 +227,7 @@
     let me = DaemonId::new(&format!("daemon-{index}"));
     let domain = domain_name(index % spec.domains);
     router.set_topology(topology::build(state, &me, &domain, &spec.settings));
-    router.set_sharers(spec.routers);
+    router.set_daemon_count(spec.routers);
     router
 }
 
@@ -407,9 +407,9 @@
                     self.act(router, out);
                 }
                 // No engine of an experiment names a limit or crashes.
-                RouterAction::AskTrial(_)
-                | RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
+                RouterAction::RequestTrial(_)
+                | RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
                 | RouterAction::Log(_) => {}
             }
         }
