--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -101,7 +101,7 @@
         CORE + "router/cooldown.rs",
         "(now < until).then_some(until)",
         "(now < until.min(Timestamp::ZERO)).then_some(until)",
-        "cooldowns", "at_nine_daemons",
+        "cooldowns", "from_nine_daemons",
     ),
     "an-answer-ends-no-cooldown-early": (
         CORE + "router/cooldown.rs",
@@ -149,19 +149,19 @@
         CORE + "router/refusal.rs",
         "        if unavailable_for > longest_wait {",
         "        if unavailable_for > longest_wait + MAX_RETRY_AFTER {",
-        "cooldowns", "the_true_wait",
+        "cooldowns", "an_accurate_retry_after",
     ),
     "a-standstill-is-no-slow-line": (
         CORE + "router/dispatch.rs",
         "                    state.drain.restart(now);\n",
         "                    let _ = &state.drain;\n",
-        "cooldowns", "that_is_near",
+        "cooldowns", "that_ends_soon",
     ),
     "a-leaving-upstream-gets-nothing": (
         CORE + "router/upstream.rs",
         "self.spec.accepts_new && !self.lost && !self.is_leaving(now)",
         "self.spec.accepts_new && !self.lost && (!self.is_leaving(now) || now > Timestamp::ZERO)",
-        "cooldowns", "said_it_is_leaving",
+        "cooldowns", "announced_leaving",
     ),
     "an-instance-that-left-is-asked-again": (
         CORE + "router/leaving.rs",
@@ -191,7 +191,7 @@
         CORE + "permits.rs",
         ".min(at_once(rate));",
         ".min(1_000.0);",
-        "limited_upstreams", "few_requests_come_late",
+        "limited_upstreams", "does_not_accumulate",
     ),
     "a-limit-of-nothing-can-end": (
         CORE + "permits.rs",
@@ -203,7 +203,7 @@
         CORE + "permits.rs",
         "Duration::from_millis(2_500)",
         "Duration::from_millis(1_000)",
-        "limited_upstreams", "where_all_upstreams",
+        "limited_upstreams", "if_all_upstreams_are_limited_their",
     ),
     "permits-are-asked-where-they-are-used": (
         CORE + "router/choose.rs",
@@ -251,7 +251,7 @@
         CORE + "router/trial.rs",
         "            } else if now >= until {",
         "            } else if now >= until + Duration::from_secs(60) {",
-        "router", "come_back_soon",
+        "router", "a_short_retry_after",
     ),
     "crashing-requests-are-quarantined": (
         CORE + "router/quarantine.rs",
@@ -263,7 +263,7 @@
         CORE + "router/suspects.rs",
         "        if is_gone {",
         "        if is_gone || !losses.is_empty() {",
-        "router", "upstreams_that_go_on",
+        "router", "upstreams_that_keep_running",
     ),
     "waits-for-the-check": (
         CORE + "router/dispatch.rs",
@@ -335,7 +335,7 @@
         CORE + "router/quarantine.rs",
         "record.crashes.retain(|(_, at)| *at > completion.at);",
         "",
-        "quarantine", "counts_anew",
+        "quarantine", "resets_the_count",
     ),
     "an-answer-is-an-objection": (
         CORE + "router/quarantine.rs",
@@ -347,7 +347,7 @@
         CORE + "daemon/quarantine.rs",
         "quarantined: quarantined.map(|held| report_of(now, held)).collect(),\n            ..Q",
         "quarantined: quarantined.map(|held| report_of(now, held)).take(0).collect(),\n            ..Q",
-        "quarantine", "missed_the_news",
+        "quarantine", "missed_the_update",
     ),
     "shown-in-a-group-is-not-used": (
         CORE + "controller/ordered_plan.rs",
@@ -503,7 +503,7 @@
         CORE + "router/upstream.rs",
         "asked_at.minus(Duration::from_millis(status.members_age_ms))",
         "asked_at",
-        "router", "has_not_looked",
+        "router", "an_old_member_check",
     ),
     "release-acknowledged": (
         CORE + "controller/mod.rs",
--- a/shalehinge/tests/cooldowns.rs
+++ b/shalehinge/tests/cooldowns.rs
@@ -11,16 +11,17 @@
 /// The cooldown that upstreams request.
 const COOLDOWN: Duration = Duration::from_secs(3);
 /// Time after a cooldown was requested during which requests already in flight may still arrive.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// Also the length of the window in which the burst after a cooldown is counted.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
 /// Number of requests per daemon that users tolerate in the rest of a cooldown.
-const ALLOWED: usize = 2;
+const MAX_DURING_COOLDOWN: usize = 2;
 
 /// The highest number of requests from one daemon to one upstream during a cooldown that the
 /// upstream had requested from it.
-fn most_in_cooldown(scene: &Scene) -> usize {
+fn max_during_cooldown(scene: &Scene) -> usize {
     let within = |turned: &TurnedAway, arrival: &&Arrival| {
         let is_same = (arrival.daemon, arrival.group) == (turned.daemon, turned.group);
-        let from = turned.at + UNDER_WAY;
+        let from = turned.at + IN_FLIGHT_GRACE;
         is_same && arrival.at > from && arrival.at < turned.at + turned.cooldown
     };
     let counts = scene.fleet.turned_away.iter().map(|turned| {
@@ -31,56 +32,56 @@
 }
 
 /// The longest time a request waits for an upstream, as in the settings.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-fn cool(scene: &mut Scene, groups: std::ops::Range<u64>, cooldown: Duration) {
-    let asked = groups.map(|index| (group(index), cooldown));
-    scene.fleet.cooldowns.extend(asked);
+fn start_cooldowns(scene: &mut Scene, groups: std::ops::Range<u64>, cooldown: Duration) {
+    let cooldowns = groups.map(|index| (group(index), cooldown));
+    scene.fleet.cooldowns.extend(cooldowns);
 }
 
 #[test]
-fn requests_go_to_no_upstream_in_its_cooldown_at_nine_daemons() {
+fn no_upstream_gets_requests_during_its_cooldown_from_nine_daemons() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
-    cool(&mut scene, 0..6, COOLDOWN);
+    start_cooldowns(&mut scene, 0..6, COOLDOWN);
     scene.serve_seconds(8);
-    let most = most_in_cooldown(&scene);
+    let max = max_during_cooldown(&scene);
     assert!(
-        most <= ALLOWED,
-        "{most} requests during a cooldown, allowed {ALLOWED}"
+        max <= MAX_DURING_COOLDOWN,
+        "{max} requests during a cooldown, allowed {MAX_DURING_COOLDOWN}"
     );
     assert!(!scene.fleet.turned_away.is_empty());
 }
 
 #[test]
-fn requests_go_to_no_upstream_in_its_cooldown_at_340_daemons() {
+fn no_upstream_gets_requests_during_its_cooldown_from_340_daemons() {
     let mut scene = Scene::new(340, 60, 5);
-    cool(&mut scene, 0..20, COOLDOWN);
+    start_cooldowns(&mut scene, 0..20, COOLDOWN);
     scene.serve_seconds(8);
-    let most = most_in_cooldown(&scene);
+    let max = max_during_cooldown(&scene);
     assert!(
-        most <= ALLOWED,
-        "{most} requests during a cooldown, allowed {ALLOWED}"
+        max <= MAX_DURING_COOLDOWN,
+        "{max} requests during a cooldown, allowed {MAX_DURING_COOLDOWN}"
     );
 }
 
 /// A scene in which every upstream has requested this cooldown once. Also returns when the first
 /// cooldown ends.
-fn all_cool_once(cooldown: Duration) -> (Scene, Duration) {
+fn all_in_cooldown_once(cooldown: Duration) -> (Scene, Duration) {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
-    cool(&mut scene, 0..18, cooldown);
+    start_cooldowns(&mut scene, 0..18, cooldown);
     scene.serve_seconds(1);
     scene.fleet.cooldowns.clear();
     scene.fleet.outcomes.clear();
-    let asked = scene.fleet.turned_away.iter();
-    let ends = asked.map(|turned| turned.at + turned.cooldown).min();
+    let cooldowns = scene.fleet.turned_away.iter();
+    let ends = cooldowns.map(|turned| turned.at + turned.cooldown).min();
     (scene, ends.expect("a cooldown was requested"))
 }
 
 #[test]
-fn callers_are_told_the_true_wait_where_every_upstream_cools_down() {
-    let (mut scene, ends) = all_cool_once(2 * COOLDOWN);
+fn callers_get_an_accurate_retry_after_if_every_upstream_is_in_a_cooldown() {
+    let (mut scene, ends) = all_in_cooldown_once(2 * COOLDOWN);
     scene.serve(Duration::from_millis(500));
     let wait = ends - scene.fleet.now;
     let latest = wait + Duration::from_millis(600);
@@ -101,28 +102,28 @@
 }
 
 #[test]
-fn callers_wait_for_the_end_of_a_cooldown_that_is_near() {
-    let (mut scene, ends) = all_cool_once(COOLDOWN);
+fn callers_wait_for_a_cooldown_that_ends_soon() {
+    let (mut scene, ends) = all_in_cooldown_once(COOLDOWN);
     let left = ends - scene.fleet.now;
-    scene.serve(left - LONGEST_WAIT / 2);
+    scene.serve(left - MAX_WAIT / 2);
     scene.fleet.outcomes.clear();
     scene.serve_seconds(4);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all);
+    let (completed, submitted) = scene.served();
+    assert_eq!(completed, submitted);
 }
 
 #[test]
-fn callers_are_served_again_once_a_cooldown_has_ended() {
+fn callers_are_served_again_after_a_cooldown() {
     let mut scene = Scene::small();
-    cool(&mut scene, 0..18, COOLDOWN);
+    start_cooldowns(&mut scene, 0..18, COOLDOWN);
     scene.serve_seconds(1);
     scene.fleet.cooldowns.clear();
     scene.serve_seconds(3);
     scene.fleet.outcomes.clear();
     let since = scene.fleet.now;
     scene.serve_seconds(4);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all);
+    let (completed, submitted) = scene.served();
+    assert_eq!(completed, submitted);
     for index in 0..18 {
         assert!(
             scene.rate_since(index, since) > 5.0,
@@ -132,20 +133,23 @@
 }
 
 #[test]
-fn an_upstream_beside_one_that_cools_down_keeps_its_share() {
+fn other_upstreams_keep_their_share_during_a_cooldown() {
     let mut scene = Scene::small();
-    cool(&mut scene, 0..1, COOLDOWN);
+    start_cooldowns(&mut scene, 0..1, COOLDOWN);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the other upstreams must serve all requests");
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
     for index in 1..18 {
         assert!(scene.rate_since(index, since) > 5.0);
     }
 }
 
 #[test]
-fn requests_go_to_no_upstream_that_said_it_is_leaving() {
+fn no_upstream_gets_requests_after_it_announced_leaving() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
     scene.fleet.leaving.extend((0..3).map(group));
@@ -154,17 +158,20 @@
     scene.serve_seconds(6);
     let late: usize = (0..3).map(|index| scene.times(index, since).len()).sum();
     assert_eq!(late, 0);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the other upstreams must serve all requests");
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
 }
 
 /// The highest number of requests in half a second from `since` on, at the busiest of these
 /// upstreams.
-fn most_in_half_a_second(scene: &Scene, groups: std::ops::Range<u64>, since: Duration) -> usize {
+fn max_in_half_a_second(scene: &Scene, groups: std::ops::Range<u64>, since: Duration) -> usize {
     let busiest = |index| {
         let times = scene.times(index, since);
         let from = |start: &Duration| {
-            let within = |at: &&Duration| **at >= *start && **at < *start + UNDER_WAY;
+            let within = |at: &&Duration| **at >= *start && **at < *start + IN_FLIGHT_GRACE;
             times.iter().filter(within).count()
         };
         times.iter().map(from).max().unwrap_or(0)
@@ -175,7 +182,7 @@
 #[test]
 #[ignore = "prints a table; run by hand with --nocapture"]
 fn table_of_cooldowns() {
-    for (daemons, groups, every, cooling) in [
+    for (daemons, groups, every, in_cooldown_count) in [
         (9, 18, 1, 6),
         (9, 18, 1, 18),
         (90, 60, 4, 20),
@@ -186,18 +193,18 @@
         scene.serve_seconds(2);
         scene.fleet.outcomes.clear();
         let notices = scene.fleet.notices;
-        cool(&mut scene, 0..cooling, COOLDOWN);
+        start_cooldowns(&mut scene, 0..in_cooldown_count, COOLDOWN);
         scene.serve_seconds(9);
         let messages = scene.fleet.notices - notices;
         let turned_away = scene.fleet.turned_away.len();
-        let (whole, all) = scene.served();
-        let in_cooldown = most_in_cooldown(&scene);
+        let (completed, submitted) = scene.served();
+        let in_cooldown = max_during_cooldown(&scene);
         scene.fleet.cooldowns.clear();
         let end = scene.fleet.now;
         scene.serve_seconds(4);
-        let burst = most_in_half_a_second(&scene, 0..cooling, end);
+        let burst = max_in_half_a_second(&scene, 0..in_cooldown_count, end);
         println!(
-            "{daemons} daemons, {cooling} of {groups} upstreams in a cooldown: {turned_away} requests refused in 9 s, {whole} of {all} served, \
+            "{daemons} daemons, {in_cooldown_count} of {groups} upstreams in a cooldown: {turned_away} requests refused in 9 s, {completed} of {submitted} served, \
              at most {in_cooldown} in a cooldown, at most {burst} in half a second afterwards, {messages} messages"
         );
     }
--- a/shalehinge/tests/failing_requests.rs
+++ b/shalehinge/tests/failing_requests.rs
@@ -20,8 +20,8 @@
 const COMPLETED: AttemptEnd = AttemptEnd::Completed { output_tokens: 8 };
 
 /// Submits a request with this fingerprint and fails all its attempts.
-fn fail(harness: &mut Harness, number: u64, asks: u64) {
-    harness.submit(number, request().repeatable().that_asks_as(asks));
+fn fail(harness: &mut Harness, number: u64, fingerprint: u64) {
+    harness.submit(number, request().repeatable().with_fingerprint(fingerprint));
     while harness.answer(number).is_none() {
         harness.end(number, FAILED);
     }
@@ -29,8 +29,8 @@
 
 /// Submits a harmless request with this fingerprint, which fails on the upstreams in `failing`
 /// and completes on others.
-fn serve(harness: &mut Harness, number: u64, asks: u64, failing: &[UpstreamId]) {
-    harness.submit(number, request().that_asks_as(asks));
+fn serve(harness: &mut Harness, number: u64, fingerprint: u64, failing: &[UpstreamId]) {
+    harness.submit(number, request().with_fingerprint(fingerprint));
     let runs_at = harness.upstream_of(number);
     let fails = runs_at.is_some_and(|upstream| failing.contains(&upstream));
     harness.end(number, if fails { FAILED } else { COMPLETED });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_that_fails_everywhere_ejects_one_upstream_at_most() {
+fn a_request_that_fails_everywhere_ejects_at_most_one_upstream() {
     let mut harness = Harness::with_replicas(10);
     for number in 0..30 {
         fail(&mut harness, number, ALWAYS_FAILS);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn several_requests_that_fail_everywhere_eject_one_upstream_each_at_most() {
+fn several_requests_that_fail_everywhere_eject_at_most_one_upstream_each() {
     let mut harness = Harness::with_replicas(30);
     for number in 0..90 {
         fail(&mut harness, number, ALWAYS_FAILS + number % 3);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_request_that_fails_everywhere_does_not_keep_an_upstream_on_probation_out_of_use() {
+fn a_request_that_fails_everywhere_does_not_eject_an_upstream_on_probation() {
     let mut harness = Harness::with_replicas(4);
     for number in 0..12 {
         fail(&mut harness, number, ALWAYS_FAILS);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_upstream_that_fails_whatever_it_runs_is_ejected_though_all_ask_the_same() {
+fn an_upstream_that_fails_every_request_is_ejected_even_if_all_requests_are_identical() {
     let mut harness = Harness::with_replicas(3);
     let failing = some_upstreams(&mut harness, 1);
     for number in 0..30 {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn two_upstreams_that_fail_whatever_they_run_are_ejected_though_all_ask_the_same() {
+fn two_upstreams_that_fail_every_request_are_ejected_even_if_all_requests_are_identical() {
     let mut harness = Harness::with_replicas(10);
     let mut failing = some_upstreams(&mut harness, 2);
     for number in 0..100 {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn upstreams_that_fail_whatever_they_run_are_ejected_beside_a_request_that_always_fails() {
+fn upstreams_that_fail_every_request_are_ejected_despite_a_request_that_always_fails() {
     let mut harness = Harness::with_replicas(10);
     let mut failing = some_upstreams(&mut harness, 3);
     for number in 0..100 {
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -20,10 +20,10 @@
 /// Length of the window in which the requests to a limited upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after a limit was first named until it must be observed.
-const IN_CONTACT: Duration = Duration::from_secs(3);
+const LIMIT_DELAY: Duration = Duration::from_secs(3);
 /// The highest number of requests in a window that users tolerate at this limit, in requests per
 /// second.
-fn most_in_window(rate: f64) -> usize {
+fn allowed_in_window(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
@@ -31,18 +31,18 @@
     RequestRate::per_second(value).expect("a valid rate")
 }
 
-trait Limits {
+trait LimitScene {
     fn limit(&mut self, index: u64, value: f64);
-    fn most(&self, index: u64, since: Duration) -> usize;
+    fn max_in_window(&self, index: u64, since: Duration) -> usize;
 }
 
-impl Limits for Scene {
+impl LimitScene for Scene {
     fn limit(&mut self, index: u64, value: f64) {
         self.fleet.limits.insert(group(index), rate(value));
     }
 
     /// The highest number of requests to a group in any window from `since` on.
-    fn most(&self, index: u64, since: Duration) -> usize {
+    fn max_in_window(&self, index: u64, since: Duration) -> usize {
         let times = self.times(index, since);
         let from = |start: &Duration| {
             let end = *start + WINDOW;
@@ -57,42 +57,48 @@
 
 /// Asserts that the requests of all daemons to a limited upstream stay within what users
 /// tolerate.
-fn assert_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
-    let most = scene.most(index, since);
-    let allowed = most_in_window(value);
+fn assert_limit_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
+    let max_in_window = scene.max_in_window(index, since);
+    let allowed = allowed_in_window(value);
     assert!(
-        most <= allowed,
-        "{most} requests in 4 s at a limit of {value}/s, allowed {allowed}"
+        max_in_window <= allowed,
+        "{max_in_window} requests in 4 s at a limit of {value}/s, allowed {allowed}"
     );
 }
 
 #[test]
-fn two_limited_of_18_upstreams_get_no_more_than_they_take_from_nine_daemons() {
+fn two_of_18_upstreams_get_no_more_than_their_limits_from_nine_daemons() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
     scene.limit(0, 1.4);
     scene.limit(1, 1.1);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(20);
-    assert_holds(&scene, 0, 1.4, since);
-    assert_holds(&scene, 1, 1.1, since);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the other upstreams must serve all requests");
+    assert_limit_holds(&scene, 0, 1.4, since);
+    assert_limit_holds(&scene, 1, 1.1, since);
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
 }
 
 #[test]
-fn limited_upstreams_get_no_more_than_they_take_from_340_daemons() {
+fn upstreams_get_no_more_than_their_limits_from_340_daemons() {
     let mut scene = Scene::new(340, 60, 5);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
         scene.limit(index, value);
     }
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(12);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
-        assert_holds(&scene, index, value, since);
+        assert_limit_holds(&scene, index, value, since);
     }
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the other upstreams must serve all requests");
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
 }
 
 /// Number of daemons, number of groups of the model, and rounds between two requests of one
@@ -105,18 +111,18 @@
         for value in [0.0, 0.2, 1.0, 1.4, 5.0, 50.0] {
             let mut scene = Scene::new(daemons, groups, every);
             scene.limit(0, value);
-            let since = scene.fleet.now + IN_CONTACT;
+            let since = scene.fleet.now + LIMIT_DELAY;
             scene.serve_seconds(13);
-            assert_holds(&scene, 0, value, since);
+            assert_limit_holds(&scene, 0, value, since);
             let least = value.min(1.0) / 4.0;
             let used = scene.rate_since(0, since);
             assert!(
                 used >= least,
                 "{used}/s used of a limit of {value}/s with {daemons} daemons"
             );
-            let (whole, all) = scene.served();
+            let (completed, submitted) = scene.served();
             assert_eq!(
-                whole, all,
+                completed, submitted,
                 "not all served at a limit of {value}/s with {daemons} daemons"
             );
         }
@@ -124,19 +130,19 @@
 }
 
 #[test]
-fn a_limit_that_changes_is_kept_as_it_is_now() {
+fn a_changed_limit_takes_effect() {
     let mut scene = Scene::small();
     scene.limit(0, 20.0);
     scene.serve_seconds(6);
     scene.limit(0, 0.5);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(10);
-    assert_holds(&scene, 0, 0.5, since);
+    assert_limit_holds(&scene, 0, 0.5, since);
     scene.limit(0, 5.0);
     scene.serve_seconds(4);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 5.0, since);
+    assert_limit_holds(&scene, 0, 5.0, since);
     assert!(
         scene.rate_since(0, since) > 1.0,
         "the higher limit must be used"
@@ -144,7 +150,7 @@
 }
 
 #[test]
-fn an_upstream_that_names_its_limit_no_more_gets_its_share_again() {
+fn an_upstream_whose_limit_ends_gets_its_share_again() {
     let mut scene = Scene::small();
     scene.limit(0, 0.0);
     scene.serve_seconds(8);
@@ -166,7 +172,7 @@
 }
 
 #[test]
-fn upstreams_without_a_limit_are_asked_of_nobody() {
+fn upstreams_without_a_limit_cause_no_messages() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
     let before = scene.fleet.notices;
@@ -175,7 +181,7 @@
 }
 
 #[test]
-fn where_all_upstreams_are_limited_callers_get_what_there_is_and_others_come_back() {
+fn if_all_upstreams_are_limited_their_limits_are_used_and_other_callers_retry_later() {
     let mut scene = Scene::small();
     for index in 0..18 {
         scene.limit(index, 2.0);
@@ -184,7 +190,7 @@
     let (since, before) = (scene.fleet.now, scene.served().0);
     scene.serve_seconds(10);
     for index in 0..18 {
-        assert_holds(&scene, index, 2.0, since);
+        assert_limit_holds(&scene, index, 2.0, since);
     }
     let served = (scene.served().0 - before) as f64 / 10.0;
     assert!(served > 18.0 * 2.0 * 0.7, "{served}/s served of 36/s");
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn a_few_requests_to_limited_upstreams_alone_are_sent_at_once() {
+fn a_few_requests_are_sent_at_once_if_all_upstreams_are_limited() {
     let mut scene = Scene::new(9, 2, usize::MAX);
     for index in 0..2 {
         scene.limit(index, 2.0);
@@ -218,17 +224,17 @@
         }
         scene.serve_seconds(2);
     }
-    let (whole, all) = scene.served();
-    assert_eq!((whole, all), (36, 36));
+    let (completed, submitted) = scene.served();
+    assert_eq!((completed, submitted), (36, 36));
 }
 
 #[test]
-fn a_limit_holds_while_daemons_end_and_start_again() {
+fn a_limit_holds_while_daemons_restart() {
     let mut scene = Scene::small();
     for index in 0..4 {
         scene.limit(index, 1.0);
     }
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(4);
     for daemon in 0..9 {
         scene.fleet.dead.insert(daemon);
@@ -237,7 +243,7 @@
         scene.serve_seconds(1);
     }
     for index in 0..4 {
-        assert_holds(&scene, index, 1.0, since);
+        assert_limit_holds(&scene, index, 1.0, since);
         assert!(
             scene.rate_since(index, since) > 0.2,
             "another daemon must own the limit meanwhile"
@@ -246,12 +252,12 @@
 }
 
 #[test]
-fn each_side_of_a_cut_keeps_the_limit_for_itself() {
+fn each_side_of_a_network_partition_observes_the_limit() {
     let mut scene = Scene::small();
     scene.limit(0, 1.0);
     scene.serve_seconds(5);
     scene.fleet.cut_off.extend([0, 3, 6]);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(12);
     let cut = scene.fleet.cut_off.clone();
     let arrivals = std::mem::take(&mut scene.fleet.arrivals);
@@ -259,18 +265,18 @@
         arrivals.into_iter().partition(|a| cut.contains(&a.daemon));
     for side in [one, other] {
         scene.fleet.arrivals = side;
-        assert_holds(&scene, 0, 1.0, since);
+        assert_limit_holds(&scene, 0, 1.0, since);
     }
     scene.fleet.arrivals.clear();
     scene.fleet.cut_off.clear();
     scene.serve_seconds(4);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 1.0, since);
+    assert_limit_holds(&scene, 0, 1.0, since);
 }
 
 #[test]
-fn a_limit_costs_few_messages() {
+fn a_limit_causes_few_messages() {
     let mut scene = Scene::new(90, 60, 4);
     scene.limit(0, 1.0);
     scene.serve_seconds(12);
@@ -282,7 +288,7 @@
 
 /// Permits of a limit that was not used for a long time must not accumulate.
 #[test]
-fn few_requests_come_late_and_no_more_than_a_limit_is_sent_at_once() {
+fn an_unused_limit_does_not_accumulate_permits() {
     let mut scene = Scene::new(9, 1, usize::MAX);
     scene.limit(0, 5.0);
     scene.fleet.whole_stream(0);
@@ -290,7 +296,7 @@
     scene.every = 1;
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 5.0, since);
+    assert_limit_holds(&scene, 0, 5.0, since);
 }
 
 #[test]
@@ -300,15 +306,15 @@
         for value in [0.2, 1.0, 1.4, 5.0, 50.0] {
             let mut scene = Scene::new(daemons, groups, every);
             scene.limit(0, value);
-            let since = scene.fleet.now + IN_CONTACT;
+            let since = scene.fleet.now + LIMIT_DELAY;
             let notices = scene.fleet.notices;
             scene.serve_seconds(13);
-            let most = scene.most(0, since);
-            let allowed = most_in_window(value);
+            let max_in_window = scene.max_in_window(0, since);
+            let allowed = allowed_in_window(value);
             let used = scene.rate_since(0, since);
             let messages = (scene.fleet.notices - notices) as f64 / 13.0;
             println!(
-                "{daemons} daemons, {value}/s: {most} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages/s"
+                "{daemons} daemons, {value}/s: {max_in_window} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages/s"
             );
         }
     }
--- a/shalehinge/tests/quarantine.rs
+++ b/shalehinge/tests/quarantine.rs
@@ -15,7 +15,7 @@
 };
 use shalehinge::settings::router::RouterSettings;
 
-const ASKED: Fingerprint = Fingerprint(7);
+const FINGERPRINT: Fingerprint = Fingerprint(7);
 
 fn at(seconds: u64) -> Timestamp {
     Timestamp::from_millis(seconds * 1_000)
@@ -27,7 +27,7 @@
         number: GroupNumber(upstream),
     };
     Loss {
-        fingerprint: ASKED,
+        fingerprint: FINGERPRINT,
         upstream: UpstreamId::Replica(replica),
         at: at(seconds),
     }
@@ -35,19 +35,19 @@
 
 fn completion(seconds: u64) -> Completion {
     Completion {
-        fingerprint: ASKED,
+        fingerprint: FINGERPRINT,
         at: at(seconds),
     }
 }
 
 /// The quarantine state of one daemon, with default settings.
 #[derive(Default)]
-struct Known {
+struct DaemonState {
     quarantine: Quarantine,
     settings: RouterSettings,
 }
 
-impl Known {
+impl DaemonState {
     fn lose(&mut self, upstream: u64, seconds: u64) -> bool {
         let loss = loss(upstream, seconds);
         self.quarantine.record_loss(loss, &self.settings)
@@ -55,79 +55,79 @@
 
     fn is_quarantined(&self, seconds: u64) -> bool {
         self.quarantine
-            .time_left(at(seconds), ASKED, &self.settings)
+            .time_left(at(seconds), FINGERPRINT, &self.settings)
             .is_some()
     }
 }
 
 #[test]
-fn what_was_lost_at_two_upstreams_is_quarantined_until_its_time_is_over() {
-    let mut known = Known::default();
+fn a_request_lost_at_two_upstreams_is_quarantined_until_the_quarantine_expires() {
+    let mut daemon = DaemonState::default();
     assert!(
-        !known.lose(1, 10),
+        !daemon.lose(1, 10),
         "a single loss may be the upstream's fault"
     );
-    assert!(!known.is_quarantined(11));
-    assert!(known.lose(2, 20));
-    assert!(known.is_quarantined(21));
-    let time = known.settings.quarantine_for.as_secs();
-    assert!(known.is_quarantined(20 + time - 1));
-    assert!(!known.is_quarantined(20 + time));
+    assert!(!daemon.is_quarantined(11));
+    assert!(daemon.lose(2, 20));
+    assert!(daemon.is_quarantined(21));
+    let time = daemon.settings.quarantine_for.as_secs();
+    assert!(daemon.is_quarantined(20 + time - 1));
+    assert!(!daemon.is_quarantined(20 + time));
 }
 
 #[test]
-fn a_crash_that_several_daemons_tell_of_counts_once() {
-    let mut known = Known::default();
-    known.lose(1, 10);
-    let told = known
+fn a_crash_reported_by_several_daemons_counts_once() {
+    let mut daemon = DaemonState::default();
+    daemon.lose(1, 10);
+    let is_quarantined_now = daemon
         .quarantine
-        .apply_remote_loss(loss(1, 10), &known.settings);
-    assert!(!told);
-    assert!(!known.is_quarantined(11));
+        .apply_remote_loss(loss(1, 10), &daemon.settings);
+    assert!(!is_quarantined_now);
+    assert!(!daemon.is_quarantined(11));
     // An instance that returned under the same name and crashed again.
-    let again = known
+    let again = daemon
         .quarantine
-        .apply_remote_loss(loss(1, 15), &known.settings);
+        .apply_remote_loss(loss(1, 15), &daemon.settings);
     assert!(again);
 }
 
 #[test]
-fn losses_long_apart_have_nothing_to_do_with_each_other() {
-    let mut known = Known::default();
-    known.lose(1, 10);
-    assert!(!known.lose(2, 10 + 301));
-    assert!(known.lose(3, 10 + 400));
+fn losses_far_apart_are_not_combined() {
+    let mut daemon = DaemonState::default();
+    daemon.lose(1, 10);
+    assert!(!daemon.lose(2, 10 + 301));
+    assert!(daemon.lose(3, 10 + 400));
 }
 
 #[test]
-fn what_an_upstream_answers_since_counts_anew() {
-    let mut known = Known::default();
-    known.lose(1, 10);
-    known.quarantine.record_completion(completion(11));
-    assert!(!known.lose(2, 12));
-    assert!(known.lose(3, 13));
+fn a_completion_resets_the_count_of_losses() {
+    let mut daemon = DaemonState::default();
+    daemon.lose(1, 10);
+    daemon.quarantine.record_completion(completion(11));
+    assert!(!daemon.lose(2, 12));
+    assert!(daemon.lose(3, 13));
     assert!(
-        known.quarantine.record_completion(completion(14)),
+        daemon.quarantine.record_completion(completion(14)),
         "the quarantine must end"
     );
-    assert!(!known.is_quarantined(15));
+    assert!(!daemon.is_quarantined(15));
 }
 
 #[test]
-fn a_daemon_that_had_an_answer_since_the_first_loss_objects_to_a_quarantine() {
-    let mut witness = Known::default();
-    let mut served = Known::default();
-    served.quarantine.record_completion(completion(15));
+fn a_daemon_with_an_answer_since_the_first_loss_objects_to_a_quarantine() {
+    let mut witness = DaemonState::default();
+    let mut objecting = DaemonState::default();
+    objecting.quarantine.record_completion(completion(15));
     witness.lose(1, 10);
     witness.lose(2, 20);
     let update = witness.quarantine.take_update();
     assert!(
-        !served
+        !objecting
             .quarantine
             .apply_remote_quarantine(update.quarantined[0])
     );
-    assert!(!served.is_quarantined(21));
-    let objection = served.quarantine.take_update().completions;
+    assert!(!objecting.is_quarantined(21));
+    let objection = objecting.quarantine.take_update().completions;
     assert_eq!(objection, [completion(15)]);
     assert!(witness.quarantine.apply_remote_completion(objection[0]));
     assert!(!witness.is_quarantined(21));
@@ -135,50 +135,50 @@
 
 #[test]
 fn an_answer_from_before_the_losses_is_no_objection() {
-    let mut known = Known::default();
-    known.quarantine.record_completion(completion(9));
-    let mut witness = Known::default();
+    let mut daemon = DaemonState::default();
+    daemon.quarantine.record_completion(completion(9));
+    let mut witness = DaemonState::default();
     witness.lose(1, 10);
     witness.lose(2, 20);
     let update = witness.quarantine.take_update();
     assert!(
-        known
+        daemon
             .quarantine
             .apply_remote_quarantine(update.quarantined[0])
     );
-    assert!(known.is_quarantined(21));
+    assert!(daemon.is_quarantined(21));
 }
 
 #[test]
-fn nothing_is_quarantined_where_that_is_turned_off() {
-    let mut known = Known::default();
-    known.settings.quarantine_after = 0;
+fn nothing_is_quarantined_if_quarantine_is_disabled() {
+    let mut daemon = DaemonState::default();
+    daemon.settings.quarantine_after = 0;
     for upstream in 1..10 {
-        assert!(!known.lose(upstream, upstream));
+        assert!(!daemon.lose(upstream, upstream));
     }
-    assert!(known.quarantine.take_update().is_empty());
+    assert!(daemon.quarantine.take_update().is_empty());
 }
 
 #[test]
-fn requests_with_losses_take_a_bounded_room() {
-    let mut known = Known::default();
+fn records_of_losses_are_bounded() {
+    let mut daemon = DaemonState::default();
     for number in 0..10_000 {
         let loss = Loss {
             fingerprint: Fingerprint(number),
             ..loss(1, number)
         };
-        known.quarantine.record_loss(loss, &known.settings);
-        known.quarantine.take_update();
+        daemon.quarantine.record_loss(loss, &daemon.settings);
+        daemon.quarantine.take_update();
     }
     let last = Loss {
         fingerprint: Fingerprint(9_999),
         ..loss(2, 10_000)
     };
-    assert!(known.quarantine.record_loss(last, &known.settings));
+    assert!(daemon.quarantine.record_loss(last, &daemon.settings));
 }
 
 #[test]
-fn customer_method_path_and_body_make_the_fingerprint() {
+fn the_fingerprint_covers_customer_method_path_and_body() {
     let of = |customer: &str, method: &str, path: &str, body: &[u8]| {
         Fingerprint::of(&Customer::new(customer), method, path, body)
     };
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_request_that_comes_to_one_daemon_after_the_other_crashes_few_upstreams() {
+fn a_request_sent_to_one_daemon_after_another_crashes_few_upstreams() {
     let mut fleet = fleet(90);
     for index in 0..90 {
         fleet.crashing_stream(index);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_daemon_that_missed_the_news_is_told_by_the_peers_that_it_asks() {
+fn a_daemon_that_missed_the_update_gets_it_from_its_peers() {
     let mut fleet = fleet(9);
     fleet.dead.insert(8);
     fleet.crashing_stream(0);
@@ -235,19 +235,23 @@
 }
 
 #[test]
-fn what_daemons_tell_each_other_on_and_on_makes_no_quarantine_last_longer() {
+fn repeated_gossip_does_not_extend_a_quarantine() {
     let mut fleet = fleet(3);
     fleet.crashing_stream(0);
     fleet.crashing_stream(1);
     fleet.run(Duration::from_secs(5));
-    let held = |fleet: &Fleet| {
+    let quarantines = |fleet: &Fleet| {
         let now = Timestamp::from_duration(fleet.now);
         let routers = fleet.daemons.iter().map(|daemon| daemon.router());
         routers.map(|r| r.quarantined(now).count()).sum::<usize>()
     };
-    assert_eq!(held(&fleet), 3, "every daemon must know of the quarantine");
+    assert_eq!(
+        quarantines(&fleet),
+        3,
+        "every daemon must know of the quarantine"
+    );
     fleet.run(RouterSettings::default().quarantine_for);
-    assert_eq!(held(&fleet), 0);
+    assert_eq!(quarantines(&fleet), 0);
 }
 
 #[test]
@@ -265,7 +269,7 @@
 }
 
 #[test]
-fn a_request_that_was_tried_and_answered_is_served_everywhere_at_once() {
+fn a_request_cleared_by_its_trial_is_served_by_all_daemons() {
     let mut fleet = fleet(9);
     fleet.crashing_stream(0);
     fleet.crashing_stream(1);
@@ -287,8 +291,8 @@
     let mut owner = TrialOwner::default();
     let upstream = loss(1, 0).upstream;
     let other = loss(2, 0).upstream;
-    let ask = |asked, candidates: &[&UpstreamId]| TrialRequest {
-        fingerprint: Fingerprint(asked),
+    let ask = |fingerprint, candidates: &[&UpstreamId]| TrialRequest {
+        fingerprint: Fingerprint(fingerprint),
         target: Target::Model(ModelName::new("m")),
         candidates: candidates.iter().map(|c| (*c).clone()).collect(),
     };
--- a/shalehinge/tests/quarantine_harmless.rs
+++ b/shalehinge/tests/quarantine_harmless.rs
@@ -21,13 +21,13 @@
 use shalehinge::core::router::request::{AttemptEnd, UpstreamId};
 
 /// Time within which a harmless request must be served once an upstream could run it.
-const SERVED_WITHIN: Duration = Duration::from_secs(3);
+const MAX_DELAY: Duration = Duration::from_secs(3);
 /// Maximum number of upstreams that one request may crash while the daemons can reach each other.
-const MOST_CRASHES: usize = 3;
-const CULPRIT: u64 = 1_000_000;
+const MAX_CRASHES: usize = 3;
+const CRASHING: u64 = 1_000_000;
 
 /// Ends those of the given requests that run at this upstream as lost.
-fn crash(harness: &mut Harness, upstream: &UpstreamId, numbers: std::ops::Range<u64>) {
+fn lose_requests_at(harness: &mut Harness, upstream: &UpstreamId, numbers: std::ops::Range<u64>) {
     for number in numbers {
         if harness.upstream_of(number).as_ref() == Some(upstream) {
             harness.end(number, AttemptEnd::Lost);
@@ -36,22 +36,22 @@
 }
 
 /// Whether a request with this fingerprint is sent to an upstream now; if so, it is completed.
-fn is_served(harness: &mut Harness, number: u64, asks: u64) -> bool {
-    harness.submit(number, request().that_asks_as(asks));
+fn is_served(harness: &mut Harness, number: u64, fingerprint: u64) -> bool {
+    harness.submit(number, request().with_fingerprint(fingerprint));
     let is_sent = harness.attempts(number) > 0;
     harness.end(number, AttemptEnd::Completed { output_tokens: 8 });
     is_sent
 }
 
 #[test]
-fn a_request_under_which_two_upstreams_went_dark_is_served_again_soon() {
+fn a_request_that_ran_on_two_upstreams_that_went_dark_is_served_again_soon() {
     let mut harness = Harness::with_replicas(6);
     harness.upstreams_crash = true;
-    harness.submit(1, request().that_asks_as(7));
+    harness.submit(1, request().with_fingerprint(7));
     harness.end(1, AttemptEnd::Lost);
-    harness.submit(2, request().that_asks_as(7));
+    harness.submit(2, request().with_fingerprint(7));
     harness.end(2, AttemptEnd::Lost);
-    harness.advance(SERVED_WITHIN);
+    harness.advance(MAX_DELAY);
     assert!(is_served(&mut harness, 3, 7));
 }
 
@@ -61,18 +61,19 @@
     harness.upstreams_crash = true;
     for round in 0..2 {
         let first = 1 + round * 100;
-        harness.submit(first, request().that_asks_as(CULPRIT));
-        let culprit_at = harness.upstream_of(first).expect("the request was sent");
+        harness.submit(first, request().with_fingerprint(CRASHING));
+        let crashed_upstream = harness.upstream_of(first).expect("the request was sent");
         for number in 1..30 {
-            harness.submit(first + number, request().that_asks_as(number));
+            harness.submit(first + number, request().with_fingerprint(number));
         }
-        crash(&mut harness, &culprit_at, first..first + 100);
+        lose_requests_at(&mut harness, &crashed_upstream, first..first + 100);
         for number in first..first + 100 {
             harness.end(number, AttemptEnd::Completed { output_tokens: 8 });
         }
     }
-    harness.advance(SERVED_WITHIN);
-    let refused = (1..30).filter(|asks| !is_served(&mut harness, 1_000 + asks, *asks));
+    harness.advance(MAX_DELAY);
+    let refused =
+        (1..30).filter(|fingerprint| !is_served(&mut harness, 1_000 + fingerprint, *fingerprint));
     assert_eq!(refused.count(), 0, "of 29 harmless requests were refused");
 }
 
@@ -89,5 +90,5 @@
         }
         crashes += fleet.crashes;
     }
-    assert!(crashes <= MOST_CRASHES, "{crashes} upstreams crashed");
+    assert!(crashes <= MAX_CRASHES, "{crashes} upstreams crashed");
 }
--- a/shalehinge/tests/router.rs
+++ b/shalehinge/tests/router.rs
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_retry_that_waits_in_vain_is_not_answered_as_not_run() {
+fn a_retry_without_an_upstream_is_not_answered_as_not_run() {
     let mut harness = Harness::with_replicas(1);
     harness.submit(1, request().repeatable());
     harness.end(1, AttemptEnd::Lost);
-    harness.lose_all();
+    harness.fail_all_reports();
     harness.advance(Duration::from_millis(100));
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(1), Some(Outcome::Unknown { reason }));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_end_of_another_attempt_ends_nothing() {
+fn the_end_of_another_attempt_is_ignored() {
     let mut harness = Harness::with_replicas(2);
     harness.submit(1, request());
     harness.submit(2, request());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_replica_without_fresh_evidence_gets_nothing() {
+fn a_replica_without_fresh_evidence_gets_no_requests() {
     let mut harness = Harness::with_replicas(1);
     harness.advance_without_reports(Duration::from_secs(3));
     harness.submit(1, request());
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn a_report_by_an_engine_that_has_not_looked_at_its_members_proves_nothing() {
+fn a_report_based_on_an_old_member_check_is_no_evidence() {
     let mut harness = Harness::with_replicas(1);
     harness.advance_without_reports(Duration::from_secs(3));
-    harness.report_with_age(0, Duration::from_secs(5));
+    harness.report_with_check_age(0, Duration::from_secs(5));
     harness.submit(1, request());
     assert_eq!(harness.attempts(1), 0);
 }
@@ -106,12 +106,12 @@
 }
 
 #[test]
-fn a_large_customer_does_not_hold_up_a_small_one() {
+fn a_large_customer_does_not_delay_a_small_one() {
     let mut harness = Harness::with_replicas(1);
     for number in 0..200 {
-        harness.submit(number, request().of("large"));
+        harness.submit(number, request().with_customer("large"));
     }
-    harness.submit(1_000, request().of("small"));
+    harness.submit(1_000, request().with_customer("small"));
     for number in 0..200 {
         if harness.attempts(1_000) > 0 {
             break;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_upstream_that_keeps_failing_is_ejected_and_comes_back_on_probation() {
+fn an_upstream_that_keeps_failing_is_ejected_and_returns_on_probation() {
     let mut harness = Harness::with_replicas(3);
     let failing = harness.submit(0, request());
     for number in 0..30 {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_request_that_was_lost_twice_is_sent_no_more_and_refused_when_it_comes_again() {
+fn a_request_that_was_lost_twice_is_not_retried_and_is_refused_when_repeated() {
     let mut harness = Harness::with_replicas(4);
     harness.upstreams_crash = true;
     harness.submit(1, request().repeatable());
@@ -170,7 +170,7 @@
     assert_eq!(harness.attempts(1), 2, "the settings allow three attempts");
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(1), Some(Outcome::Unknown { reason }));
-    harness.submit(2, request().repeatable().that_asks_as(1));
+    harness.submit(2, request().repeatable().with_fingerprint(1));
     assert_eq!(harness.attempts(2), 0);
     let Some(Outcome::NotRun {
         reason,
@@ -190,9 +190,9 @@
     let mut harness = Harness::with_replicas(4);
     harness.upstreams_crash = true;
     harness.submit(1, request());
-    harness.submit(2, request().that_asks_as(1));
+    harness.submit(2, request().with_fingerprint(1));
     harness.fill();
-    harness.submit(3, request().that_asks_as(1));
+    harness.submit(3, request().with_fingerprint(1));
     assert_eq!(harness.attempts(3), 0, "it must wait for room");
     harness.end(1, AttemptEnd::Lost);
     harness.end(2, AttemptEnd::Lost);
@@ -210,10 +210,10 @@
 }
 
 #[test]
-fn answers_that_break_off_at_upstreams_that_go_on_quarantine_nothing() {
+fn losses_at_upstreams_that_keep_running_quarantine_nothing() {
     let mut harness = Harness::with_replicas(4);
     for number in 1..6 {
-        harness.submit(number, request().that_asks_as(1));
+        harness.submit(number, request().with_fingerprint(1));
         harness.end(number, AttemptEnd::Lost);
         assert_eq!(harness.attempts(number), 1, "it must be sent each time");
         harness.advance(Duration::from_secs(1));
@@ -223,30 +223,30 @@
 /// The attempt was lost, and the check whether its upstream crashed is still under way, so the
 /// request may have run.
 #[test]
-fn a_request_that_waits_for_the_look_at_its_upstream_is_not_answered_as_not_run() {
+fn a_request_that_waits_for_the_check_of_its_upstream_is_not_answered_as_not_run() {
     let mut harness = Harness::with_replicas(4);
     harness.upstreams_crash = true;
     harness.submit(1, request());
     harness.end(1, AttemptEnd::Lost);
-    harness.holds_back_looks = true;
-    harness.submit(2, request().that_asks_as(1).with_key());
+    harness.defers_checks = true;
+    harness.submit(2, request().with_fingerprint(1).with_key());
     harness.end(2, AttemptEnd::Lost);
     assert_eq!(harness.answer(2), None, "it must wait for the check");
-    harness.take_keys_away();
+    harness.revoke_keys();
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(2), Some(Outcome::Unknown { reason }));
 }
 
 #[test]
-fn a_caller_that_leaves_while_its_upstream_is_looked_for_is_told_that_it_may_have_run() {
+fn a_caller_that_leaves_during_the_check_of_its_upstream_is_told_that_the_request_may_have_run() {
     let mut harness = Harness::with_replicas(4);
     harness.upstreams_crash = true;
     harness.submit(1, request());
     harness.end(1, AttemptEnd::Lost);
-    harness.holds_back_looks = true;
-    harness.submit(2, request().that_asks_as(1));
+    harness.defers_checks = true;
+    harness.submit(2, request().with_fingerprint(1));
     harness.end(2, AttemptEnd::Lost);
-    harness.leave(2);
+    harness.cancel(2);
     let reason = UnknownReason::Lost;
     assert_eq!(harness.answer(2), Some(Outcome::Unknown { reason }));
 }
@@ -257,7 +257,7 @@
     let mut harness = Harness::with_replicas(6);
     harness.upstreams_crash = true;
     for number in 1..=2 {
-        harness.submit(number, request().that_asks_as(7));
+        harness.submit(number, request().with_fingerprint(7));
         harness.end(number, AttemptEnd::Lost);
     }
     harness.advance(Duration::from_secs(2));
@@ -265,24 +265,24 @@
 }
 
 #[test]
-fn a_trial_that_ends_an_upstream_proves_the_request_and_nothing_that_ran_beside_it() {
+fn a_trial_that_crashes_an_upstream_proves_the_request_and_no_concurrent_one() {
     let mut harness = with_a_suspect();
-    harness.submit(3, request().that_asks_as(7));
-    let tried_at = harness.upstream_of(3).expect("a trial");
+    harness.submit(3, request().with_fingerprint(7));
+    let trial_upstream = harness.upstream_of(3).expect("a trial");
     // Requests with another fingerprint on the same upstream. If their losses counted as crashes,
     // they would become suspected.
-    let beside: Vec<u64> = (10..30)
+    let concurrent: Vec<u64> = (10..30)
         .filter(|number| {
-            harness.submit(*number, request().that_asks_as(8)) == Some(tried_at.clone())
+            harness.submit(*number, request().with_fingerprint(8)) == Some(trial_upstream.clone())
         })
         .collect();
-    assert!(!beside.is_empty());
-    for number in beside {
+    assert!(!concurrent.is_empty());
+    for number in concurrent {
         harness.end(number, AttemptEnd::Lost);
     }
     harness.end(3, AttemptEnd::Lost);
     harness.advance(Duration::from_secs(10));
-    harness.submit(4, request().that_asks_as(7));
+    harness.submit(4, request().with_fingerprint(7));
     assert_eq!(harness.attempts(4), 0);
     let Some(Outcome::NotRun { retry_after, .. }) = harness.answer(4) else {
         panic!("the request was not refused");
@@ -294,10 +294,10 @@
 }
 
 #[test]
-fn a_suspect_that_gets_no_trial_is_told_to_come_back_soon() {
+fn a_suspect_without_a_trial_gets_a_short_retry_after() {
     let mut harness = with_a_suspect();
     harness.grants_trials = false;
-    harness.submit(3, request().that_asks_as(7));
+    harness.submit(3, request().with_fingerprint(7));
     assert_eq!(harness.answer(3), None, "it must wait for a trial");
     harness.advance(Duration::from_secs(1));
     let Some(Outcome::NotRun { retry_after, .. }) = harness.answer(3) else {
@@ -313,28 +313,28 @@
 }
 
 #[test]
-fn a_suspect_that_another_daemon_cleared_goes_on_at_once() {
+fn a_suspect_cleared_by_another_daemon_is_sent_at_once() {
     let mut harness = with_a_suspect();
     harness.grants_trials = false;
-    harness.submit(3, request().that_asks_as(7));
-    harness.learn_completion(7);
+    harness.submit(3, request().with_fingerprint(7));
+    harness.report_remote_completion(7);
     harness.advance(Duration::from_millis(100));
     assert_eq!(harness.attempts(3), 1);
 }
 
 #[test]
-fn a_trial_waits_while_upstreams_are_missing_but_not_for_ever() {
+fn a_trial_waits_while_upstreams_are_missing_but_not_forever() {
     let mut harness = Harness::with_replicas(6);
     harness.upstreams_crash = true;
     for number in 1..=2 {
-        harness.submit(number, request().that_asks_as(7));
+        harness.submit(number, request().with_fingerprint(7));
         harness.end(number, AttemptEnd::Lost);
     }
-    harness.keep(5);
+    harness.keep_replicas(5);
     harness.advance(Duration::from_secs(3));
-    harness.submit(3, request().that_asks_as(7));
+    harness.submit(3, request().with_fingerprint(7));
     assert_eq!(harness.attempts(3), 0, "one of six upstreams is missing");
     harness.advance(Duration::from_secs(4));
-    harness.submit(4, request().that_asks_as(7));
+    harness.submit(4, request().with_fingerprint(7));
     assert_eq!(harness.attempts(4), 1);
 }
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -65,12 +65,12 @@
     }
 
     /// It has the given fingerprint instead of one equal to its number.
-    pub fn that_asks_as(mut self, number: u64) -> Self {
+    pub fn with_fingerprint(mut self, number: u64) -> Self {
         self.1 = Some(Fingerprint(number));
         self
     }
 
-    pub fn of(mut self, customer: &str) -> Self {
+    pub fn with_customer(mut self, customer: &str) -> Self {
         self.0.customer = Customer::new(customer);
         self
     }
@@ -92,7 +92,7 @@
     /// Whether trials are granted, each at the first candidate.
     pub grants_trials: bool,
     /// Whether checks of upstreams remain unanswered.
-    pub holds_back_looks: bool,
+    pub defers_checks: bool,
 }
 
 impl Harness {
@@ -108,7 +108,7 @@
             answers: BTreeMap::new(),
             upstreams_crash: false,
             grants_trials: true,
-            holds_back_looks: false,
+            defers_checks: false,
         };
         let specs = (0..replicas).map(spec).collect();
         harness
@@ -120,15 +120,15 @@
 
     /// Advances time, with reports of complete, idle replicas.
     pub fn advance(&mut self, time: Duration) {
-        self.pass(time, true);
+        self.advance_time(time, true);
     }
 
     pub fn advance_without_reports(&mut self, time: Duration) {
-        self.pass(time, false);
+        self.advance_time(time, false);
     }
 
     /// Reduces the topology to the first `replicas` replicas.
-    pub fn keep(&mut self, replicas: u64) {
+    pub fn keep_replicas(&mut self, replicas: u64) {
         self.replicas = replicas;
         let specs = (0..replicas).map(spec).collect();
         self.router
@@ -136,30 +136,30 @@
     }
 
     /// Fails a report of every replica, so that none counts as complete.
-    pub fn lose_all(&mut self) {
+    pub fn fail_all_reports(&mut self) {
         for number in 0..self.replicas {
             let mut out = Vec::new();
             let id = spec(number).id;
             let now = self.now;
             self.router
                 .on_report(now, now, &id, None, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle(out);
         }
         self.replicas = 0;
     }
 
     /// Reports a replica as complete, based on a member check of this age.
-    pub fn report_with_age(&mut self, number: u64, age: Duration) {
+    pub fn report_with_check_age(&mut self, number: u64, age: Duration) {
         let mut status = idle(number);
         status.members_age_ms = age.as_millis() as u64;
         let (id, now) = (spec(number).id, self.now);
         let mut out = Vec::new();
         self.router
             .on_report(now, now, &id, Some(&status), &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    fn pass(&mut self, time: Duration, with_reports: bool) {
+    fn advance_time(&mut self, time: Duration, with_reports: bool) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + STEP;
@@ -174,7 +174,7 @@
                 }
             }
             self.router.tick(self.now, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle(out);
         }
     }
 
@@ -187,7 +187,7 @@
         let id = RequestId(number);
         self.router
             .submit(self.now, id, meta, 1, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
         self.upstream_of(number)
     }
 
@@ -213,13 +213,13 @@
         let (id, attempt) = (RequestId(number), attempt.id);
         self.router
             .on_ended(self.now, id, attempt, end, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
     /// Reports that another daemon received a complete answer to a request with this fingerprint.
-    pub fn learn_completion(&mut self, asks: u64) {
+    pub fn report_remote_completion(&mut self, fingerprint: u64) {
         let completion = Completion {
-            fingerprint: Fingerprint(asks),
+            fingerprint: Fingerprint(fingerprint),
             at: self.now,
         };
         let update = QuarantineUpdate {
@@ -228,21 +228,21 @@
         };
         let mut out = Vec::new();
         self.router.apply_quarantine_update(update, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
     /// Cancels a request, as its caller left.
-    pub fn leave(&mut self, number: u64) {
+    pub fn cancel(&mut self, number: u64) {
         let mut out = Vec::new();
         self.router.cancel(RequestId(number), &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
     /// Revokes all API keys.
-    pub fn take_keys_away(&mut self) {
+    pub fn revoke_keys(&mut self) {
         let mut out = Vec::new();
         self.router.recheck_keys(|_| false, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
     /// Upstreams that are ejected now.
@@ -267,7 +267,7 @@
         self.answers.get(&number).copied()
     }
 
-    fn take(&mut self, actions: Vec<RouterAction>) {
+    fn handle(&mut self, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => {
@@ -277,7 +277,7 @@
                 RouterAction::Answer { request, outcome } => {
                     self.answers.insert(request.0, outcome);
                 }
-                RouterAction::CheckUpstream { .. } if self.holds_back_looks => {}
+                RouterAction::CheckUpstream { .. } if self.defers_checks => {}
                 RouterAction::CheckUpstream { upstream, .. } => {
                     let mut out = Vec::new();
                     let is_gone = self.upstreams_crash;
@@ -289,17 +289,17 @@
                         &mut self.rng,
                         &mut out,
                     );
-                    self.take(out);
+                    self.handle(out);
                 }
-                RouterAction::RequestTrial(question) if self.grants_trials => {
+                RouterAction::RequestTrial(trial_request) if self.grants_trials => {
                     let grant = TrialGrant {
-                        fingerprint: question.fingerprint,
-                        upstream: question.candidates[0].clone(),
+                        fingerprint: trial_request.fingerprint,
+                        upstream: trial_request.candidates[0].clone(),
                     };
                     let mut out = Vec::new();
                     self.router
                         .on_trial(self.now, &grant, &mut self.rng, &mut out);
-                    self.take(out);
+                    self.handle(out);
                 }
                 RouterAction::Abandon(_)
                 | RouterAction::RequestTrial(_)
--- a/shalehinge/tests/signal_fuzz.rs
+++ b/shalehinge/tests/signal_fuzz.rs
@@ -25,7 +25,7 @@
 const STEPS: usize = 250;
 const TICK: Duration = Duration::from_millis(50);
 /// Number of requests submitted at once at the end of a sequence.
-const ROUND: usize = 30;
+const BURST: usize = 30;
 /// The longest cooldown that a sequence can contain.
 const LONGEST_COOLDOWN: Duration = Duration::from_millis(255 * 40);
 
@@ -49,13 +49,13 @@
     Leave(u8),
 }
 
-struct World {
+struct Simulation {
     router: Router,
     rng: SmallRng,
     now: Timestamp,
-    next: u64,
+    last_request: u64,
     running: BTreeMap<RequestId, Attempt>,
-    open: BTreeSet<RequestId>,
+    unanswered: BTreeSet<RequestId>,
     outcomes: Vec<Outcome>,
     cooldowns: BTreeMap<UpstreamId, Timestamp>,
     leaving: BTreeSet<UpstreamId>,
@@ -80,7 +80,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let settings = RouterSettings {
             max_attempts: 5,
@@ -95,9 +95,9 @@
             router,
             rng: SmallRng::seed_from_u64(seed),
             now: Timestamp::from_millis(1_000),
-            next: 0,
+            last_request: 0,
             running: BTreeMap::new(),
-            open: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
             outcomes: Vec::new(),
             cooldowns: BTreeMap::new(),
             leaving: BTreeSet::new(),
@@ -105,12 +105,12 @@
     }
 
     fn submit(&mut self, kind: u8) {
-        self.next += 1;
-        let request = RequestId(self.next);
-        self.open.insert(request);
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
+        self.unanswered.insert(request);
         let meta = RequestMeta {
             customer: Customer::new("one"),
-            fingerprint: Fingerprint(self.next),
+            fingerprint: Fingerprint(self.last_request),
             target: target(),
             prompt_tokens: 100,
             max_output_tokens: 50,
@@ -127,7 +127,7 @@
         let mut out = Vec::new();
         self.router
             .submit(self.now, request, meta, 1, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
     fn wait(&mut self, ticks: usize) {
@@ -135,11 +135,11 @@
             self.now = self.now + TICK;
             let mut out = Vec::new();
             self.router.tick(self.now, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle(out);
         }
     }
 
-    fn pick(&self, index: u8) -> Option<Attempt> {
+    fn running_attempt(&self, index: u8) -> Option<Attempt> {
         let count = self.running.len().max(1);
         self.running
             .values()
@@ -154,16 +154,19 @@
         self.router.on_signal(now, request, id, signal, &mut out);
         self.router
             .on_ended(now, request, id, end, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    fn take(&mut self, actions: Vec<RouterAction>) {
+    fn handle(&mut self, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => self.send(attempt),
                 RouterAction::Abandon(id) => self.running.retain(|_, attempt| attempt.id != id),
                 RouterAction::Answer { request, outcome } => {
-                    assert!(self.open.remove(&request), "{request:?} was answered twice");
+                    assert!(
+                        self.unanswered.remove(&request),
+                        "{request:?} was answered twice"
+                    );
                     self.running.remove(&request);
                     self.outcomes.push(outcome);
                 }
@@ -172,7 +175,7 @@
                     let now = self.now;
                     self.router
                         .on_upstream_checked(now, &upstream, false, &mut self.rng, &mut out);
-                    self.take(out);
+                    self.handle(out);
                 }
                 RouterAction::ReportLimit(_)
                 | RouterAction::RequestPermits { .. }
@@ -194,42 +197,45 @@
     }
 
     fn apply(&mut self, step: Step) {
-        let whole = AttemptEnd::Completed { output_tokens: 8 };
+        let completed = AttemptEnd::Completed { output_tokens: 8 };
         match step {
             Step::Submit(kind) => self.submit(kind),
             Step::Wait(ticks) => self.wait(usize::from(ticks % 16)),
             Step::Complete(index) => {
-                if let Some(attempt) = self.pick(index) {
-                    self.end(&attempt, UpstreamSignal::silent(200), whole);
+                if let Some(attempt) = self.running_attempt(index) {
+                    self.end(&attempt, UpstreamSignal::silent(200), completed);
                 }
             }
             Step::Output(index) => {
-                if let Some(attempt) = self.pick(index) {
+                if let Some(attempt) = self.running_attempt(index) {
                     self.router.on_output(self.now, attempt.request, attempt.id);
                 }
             }
             Step::Lose(index) => {
-                if let Some(attempt) = self.pick(index) {
+                if let Some(attempt) = self.running_attempt(index) {
                     self.end(&attempt, UpstreamSignal::silent(500), AttemptEnd::Lost);
                 }
             }
             Step::TurnAway(index, length) => self.turn_away(index, length),
             Step::Leave(index) => {
-                if let Some(attempt) = self.pick(index).filter(|_| self.leaving.len() < 3) {
+                if let Some(attempt) = self
+                    .running_attempt(index)
+                    .filter(|_| self.leaving.len() < 3)
+                {
                     self.leaving.insert(attempt.upstream.clone());
                     let leaving = LeavingMark::Leaving;
                     let signal = UpstreamSignal {
                         leaving,
                         ..UpstreamSignal::silent(200)
                     };
-                    self.end(&attempt, signal, whole);
+                    self.end(&attempt, signal, completed);
                 }
             }
         }
     }
 
     fn turn_away(&mut self, index: u8, length: u8) {
-        let Some(attempt) = self.pick(index) else {
+        let Some(attempt) = self.running_attempt(index) else {
             return;
         };
         let cooldown = Duration::from_millis(u64::from(length) * 40);
@@ -247,27 +253,31 @@
 
     /// Completes all running attempts, lets all cooldowns end, and asserts that every upstream
     /// that is not leaving is used again.
-    fn heal(&mut self) {
-        let whole = AttemptEnd::Completed { output_tokens: 8 };
+    fn recover(&mut self) {
+        let completed = AttemptEnd::Completed { output_tokens: 8 };
         let mut used = BTreeSet::new();
         self.wait(LONGEST_COOLDOWN.as_millis() as usize / TICK.as_millis() as usize);
         // Ejections of upstreams that lost attempts last up to a minute.
         self.wait(60 * 20);
         for _ in 0..20 {
             // More requests at once than one upstream can run.
-            (0..ROUND).for_each(|_| self.submit(2));
+            (0..BURST).for_each(|_| self.submit(2));
             used.extend(
                 self.running
                     .values()
                     .map(|attempt| attempt.upstream.clone()),
             );
-            while let Some(attempt) = self.pick(0) {
+            while let Some(attempt) = self.running_attempt(0) {
                 used.insert(attempt.upstream.clone());
-                self.end(&attempt, UpstreamSignal::silent(200), whole);
+                self.end(&attempt, UpstreamSignal::silent(200), completed);
             }
             self.wait(1);
         }
-        assert!(self.open.is_empty(), "{:?} were not answered", self.open);
+        assert!(
+            self.unanswered.is_empty(),
+            "{:?} were not answered",
+            self.unanswered
+        );
         assert_eq!(
             used.len(),
             5 - self.leaving.len(),
@@ -276,32 +286,32 @@
     }
 }
 
-fn run(seed: u64) {
+fn run_sequence(seed: u64) {
     let options = driver::Options::default();
     let mut driver = driver::Rng::new(StdRng::seed_from_u64(seed), &options);
     let steps = (0..STEPS).filter_map(|_| bolero::produce::<Step>().generate(&mut driver));
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     for step in steps {
-        world.apply(step);
+        simulation.apply(step);
     }
-    world.heal();
+    simulation.recover();
 }
 
 fn run_all(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let result = std::panic::catch_unwind(|| run(seed));
+        let result = std::panic::catch_unwind(|| run_sequence(seed));
         assert!(result.is_ok(), "seed {seed}");
     }
 }
 
 #[test]
-fn no_answer_leads_to_a_request_in_a_cooldown_in_fixed_sequences() {
+fn no_request_is_sent_during_a_cooldown_in_fixed_sequences() {
     run_all(0..SEEDS);
 }
 
 #[test]
 #[ignore = "long; run by hand with FUZZ_SEEDS=FROM..TO"]
-fn no_answer_leads_to_a_request_in_a_cooldown_in_more_sequences() {
+fn no_request_is_sent_during_a_cooldown_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..5000".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
     let number = |text: &str| text.parse::<u64>().expect("an integer");
@@ -309,7 +319,7 @@
 }
 
 #[test]
-fn any_header_is_read_or_reported() {
+fn parsing_any_header_does_not_panic() {
     for seed in 0..20_000 {
         let options = driver::Options::default();
         let mut driver = driver::Rng::new(StdRng::seed_from_u64(seed), &options);
--- a/shalehinge/tests/upstream_lives.rs
+++ b/shalehinge/tests/upstream_lives.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_instance_that_started_again_is_trusted_as_one_that_was_never_seen() {
+fn a_restarted_engine_is_treated_as_a_new_upstream() {
     let started = |start: u64| UpstreamSpec {
         started: Some(EngineStart(start)),
         ..listed()
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_cooldown_or_leaving_ends_with_the_life_of_the_engine_that_asked_for_it() {
+fn a_cooldown_or_leaving_mark_ends_when_the_engine_restarts() {
     let started = |start: u64| UpstreamSpec {
         started: Some(EngineStart(start)),
         ..listed()
