--- a/shalehinge/src/core/router/leaving.rs
+++ b/shalehinge/src/core/router/leaving.rs
@@ -19,7 +19,7 @@
 
 impl LeavingState {
     /// Whether the upstream is leaving. This lasts until it restarts, which the host list or its
-    /// group number shows, or for [`LEAVING_RETENTION`] where nothing shows a restart.
+    /// group number shows, or for `LEAVING_RETENTION` where nothing shows a restart.
     pub fn is_leaving(&self, now: Timestamp, id: &UpstreamId) -> bool {
         match id {
             UpstreamId::Replica(_) | UpstreamId::Host(..) => self.announced_at.is_some(),
--- a/shalehinge/src/core/router/outlier.rs
+++ b/shalehinge/src/core/router/outlier.rs
@@ -47,7 +47,7 @@
         self.on_probation || self.failures_in_a_row >= settings.eject_after
     }
 
-    /// Ejects the upstream, for twice as long each time, up to [`MAX_EJECTION`].
+    /// Ejects the upstream, for twice as long each time, up to `MAX_EJECTION`.
     pub fn eject(&mut self, now: Timestamp, settings: &RouterSettings) {
         let doublings = self.ejections.min(8);
         let time = settings.eject_for * 2u32.pow(doublings);
--- a/shalehinge/src/core/router/upstream.rs
+++ b/shalehinge/src/core/router/upstream.rs
@@ -267,8 +267,8 @@
         true
     }
 
-    /// Handles a report requested at `asked_at`. `daemon_count` is the number of daemons that send to
-    /// the upstream.
+    /// Handles a report requested at `asked_at`. `daemon_count` is the number of daemons that
+    /// send to the upstream.
     pub fn on_report(
         &mut self,
         asked_at: Timestamp,
