--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -101,7 +101,7 @@
         CORE + "router/cooldown.rs",
         "(now < until).then_some(until)",
         "(now < until.min(Timestamp::ZERO)).then_some(until)",
-        "cooldowns", "at_nine_daemons",
+        "cooldowns", "from_nine_daemons",
     ),
     "an-answer-ends-no-cooldown-early": (
         CORE + "router/cooldown.rs",
@@ -111,13 +111,13 @@
     ),
     "one-request-at-a-time-after-a-cooldown": (
         CORE + "router/cooldown.rs",
-        "!(self.is_recovering && self.is_tried)",
-        "!(self.is_recovering && self.is_tried && self.is_unreadable)",
+        "!(self.is_recovering && self.has_probe_in_flight)",
+        "!(self.is_recovering && self.has_probe_in_flight && self.is_unreadable)",
         "signal", "sent_one_at_a_time",
     ),
     "a-request-that-is-turned-away-again-leaves-room": (
         CORE + "router/cooldown.rs",
-        "        self.is_recovering = true;\n        self.is_tried = false;\n",
+        "        self.is_recovering = true;\n        self.has_probe_in_flight = false;\n",
         "        self.is_recovering = true;\n",
         "signal_fuzz", "fixed_sequences",
     ),
@@ -129,8 +129,8 @@
     ),
     "a-cooldown-of-a-day-is-tested": (
         CORE + "router/cooldown.rs",
-        "const MOST_TESTS: u32 = 2;",
-        "const MOST_TESTS: u32 = 0;",
+        "const MAX_PROBES: u32 = 2;",
+        "const MAX_PROBES: u32 = 0;",
         "signal", "of_a_day",
     ),
     "what-is-no-number-of-seconds-makes-no-cooldown": (
@@ -148,30 +148,30 @@
     "callers-get-the-true-wait": (
         CORE + "router/refusal.rs",
         "        if unavailable_for > longest_wait {",
-        "        if unavailable_for > longest_wait + MOST_RETRY_AFTER {",
-        "cooldowns", "the_true_wait",
+        "        if unavailable_for > longest_wait + MAX_RETRY_AFTER {",
+        "cooldowns", "an_accurate_retry_after",
     ),
     "a-standstill-is-no-slow-line": (
         CORE + "router/dispatch.rs",
         "                    state.drain.restart(now);\n",
         "                    let _ = &state.drain;\n",
-        "cooldowns", "that_is_near",
+        "cooldowns", "that_ends_soon",
     ),
     "a-leaving-upstream-gets-nothing": (
         CORE + "router/upstream.rs",
         "self.spec.accepts_new && !self.lost && !self.is_leaving(now)",
         "self.spec.accepts_new && !self.lost && (!self.is_leaving(now) || now > Timestamp::ZERO)",
-        "cooldowns", "said_it_is_leaving",
+        "cooldowns", "announced_leaving",
     ),
     "an-instance-that-left-is-asked-again": (
         CORE + "router/leaving.rs",
-        "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR)",
-        "self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR * 60)",
+        ".is_some_and(|at| now.since(at) < LEAVING_RETENTION)",
+        ".is_some_and(|at| now.since(at) < LEAVING_RETENTION * 60)",
         "signal", "retried_after_a_minute",
     ),
     "a-limited-upstream-needs-a-permit": (
-        CORE + "router/named.rs",
-        "self.rate.is_none() || (self.permits.left > 0 && now < self.permits.until)",
+        CORE + "router/limit_state.rs",
+        "self.rate.is_none() || (self.permits.remaining > 0 && now < self.permits.until)",
         "self.rate.is_none() || now >= Timestamp::ZERO",
         "limited_upstreams", "from_nine_daemons",
     ),
@@ -191,7 +191,7 @@
         CORE + "permits.rs",
         ".min(burst_size(rate));",
         ".min(1_000.0);",
-        "limited_upstreams", "few_requests_come_late",
+        "limited_upstreams", "does_not_accumulate",
     ),
     "a-limit-of-nothing-can-end": (
         CORE + "permits.rs",
@@ -203,7 +203,7 @@
         CORE + "permits.rs",
         "Duration::from_millis(2_500)",
         "Duration::from_millis(1_000)",
-        "limited_upstreams", "where_all_upstreams",
+        "limited_upstreams", "if_all_upstreams_are_limited_their",
     ),
     "permits-are-asked-where-they-are-used": (
         CORE + "router/choose.rs",
@@ -212,7 +212,7 @@
         "limited_upstreams", "any_rate_and_size",
     ),
     "an-answer-from-before-a-limit-ends-nothing": (
-        CORE + "router/named.rs",
+        CORE + "router/limit_state.rs",
         "AdvertisedLimit::None => self.set(sent_at, None),",
         "AdvertisedLimit::None => self.set(now.max(sent_at), None),",
         "advertised_limit", "sent_before_a_limit",
@@ -225,7 +225,7 @@
     ),
     "a-suspect-is-tried": (
         CORE + "router/refusal.rs",
-        "Evidence::Suspected => held.last_lost_at + SETTLING,",
+        "Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,",
         "Evidence::Suspected => held.last_lost_at + settings.quarantine_for,",
         "quarantine_harmless", "are_served_again_soon",
     ),
@@ -243,15 +243,15 @@
     ),
     "a-trial-explains-its-crash": (
         CORE + "router/suspects.rs",
-        "let tried = losses.iter().find(|loss| self.was_tried(loss)).cloned();",
-        "let tried: Option<Loss> = None;",
+        "let on_trial = losses.iter().find(|loss| self.was_on_trial(loss)).cloned();",
+        "let on_trial: Option<Loss> = None;",
         "router", "proves_the_request",
     ),
     "nothing-waits-behind-a-suspect": (
-        CORE + "router/trying.rs",
+        CORE + "router/trial.rs",
         "            } else if now >= until {",
         "            } else if now >= until + Duration::from_secs(60) {",
-        "router", "come_back_soon",
+        "router", "a_short_retry_after",
     ),
     "crashing-requests-are-quarantined": (
         CORE + "router/quarantine.rs",
@@ -263,12 +263,12 @@
         CORE + "router/suspects.rs",
         "        if is_gone {",
         "        if is_gone || !losses.is_empty() {",
-        "router", "upstreams_that_go_on",
+        "router", "upstreams_that_keep_running",
     ),
     "waits-for-the-check": (
         CORE + "router/dispatch.rs",
-        "outcome if self.awaits_check(&asked, &running.upstream) => {",
-        "outcome if self.awaits_check(&asked, &running.upstream) && false => {",
+        "outcome if self.awaits_check(&subject, &running.upstream) => {",
+        "outcome if self.awaits_check(&subject, &running.upstream) && false => {",
         "router", "lost_twice",
     ),
     "a-failure-may-be-the-requests": (
@@ -279,8 +279,8 @@
     ),
     "a-completion-shows-failing-upstreams": (
         CORE + "router/failing.rs",
-        "        self.records.remove(&fingerprint);\n    }\n\n    fn remember",
-        "        let _ = fingerprint;\n    }\n\n    fn remember",
+        "        self.records.remove(&fingerprint);\n    }\n\n    fn insert",
+        "        let _ = fingerprint;\n    }\n\n    fn insert",
         "failing_requests", "two_upstreams",
     ),
     "trials-of-a-model-wait": (
@@ -335,19 +335,19 @@
         CORE + "router/quarantine.rs",
         "record.crashes.retain(|(_, at)| *at > completion.at);",
         "",
-        "quarantine", "counts_anew",
+        "quarantine", "resets_the_count",
     ),
     "an-answer-is-an-objection": (
         CORE + "router/quarantine.rs",
-        "if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at) {",
-        "if let Some(completion) = self.completed_since(fingerprint, quarantined.first_lost_at).filter(|_| false) {",
+        "if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at) {",
+        "if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at).filter(|_| false) {",
         "quarantine", "objects_to",
     ),
     "quarantine-is-told-again": (
         CORE + "daemon/quarantine.rs",
         "quarantined: quarantined\n                .map(|entry| quarantined_report(now, entry))\n                .collect(),\n            ..Q",
         "quarantined: quarantined.map(|entry| quarantined_report(now, entry)).take(0).collect(),\n            ..Q",
-        "quarantine", "missed_the_news",
+        "quarantine", "missed_the_update",
     ),
     "shown-in-a-group-is-not-used": (
         CORE + "controller/ordered_plan.rs",
@@ -503,7 +503,7 @@
         CORE + "router/upstream.rs",
         "asked_at.minus(Duration::from_millis(status.members_age_ms))",
         "asked_at",
-        "router", "has_not_looked",
+        "router", "an_old_member_check",
     ),
     "release-acknowledged": (
         CORE + "controller/mod.rs",
@@ -519,7 +519,7 @@
     ),
     "earlier-attempt": (
         CORE + "router/target.rs",
-        "Outcome::NotRun { .. } => self.earlier.unwrap_or(last),",
+        "Outcome::NotRun { .. } => self.earlier_outcome.unwrap_or(last),",
         "Outcome::NotRun { .. } => last,",
         "always", "fixed",
     ),
@@ -531,8 +531,8 @@
     ),
     "not-repeatable": (
         CORE + "router/dispatch.rs",
-        "pending.meta.repeatable && is_whole",
-        "is_whole",
+        "pending.meta.repeatable && is_restartable",
+        "is_restartable",
         "always", "fixed",
     ),
     "claim": (
@@ -717,7 +717,7 @@
     ),
     "route-attempts": (
         CORE + "router/dispatch.rs",
-        "most_runs.is_none_or(|most| pending.runs < most)", "{ let _ = most_runs; true }",
+        "max_runs.is_none_or(|limit| pending.possible_runs < limit)", "{ let _ = max_runs; true }",
         "listed_routing", "no_more_upstreams",
     ),
     "keys-confirmed": (
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -119,7 +119,9 @@
         let is_early = now.as_duration() < self.settings.control.free_loads_within;
         HostListState {
             as_of: self.hosts_as_of(),
-            loads_are_unlimited: self.identity.is_first_start && is_early && !self.has_received_request,
+            loads_are_unlimited: self.identity.is_first_start
+                && is_early
+                && !self.has_received_request,
             domains: domains.len(),
         }
     }
--- a/shalehinge/src/core/router/leaving.rs
+++ b/shalehinge/src/core/router/leaving.rs
@@ -1,4 +1,4 @@
-//! Whether one upstream said that it is leaving.
+//! Tracks whether an upstream has announced that it is leaving.
 
 use std::time::Duration;
 
@@ -7,32 +7,34 @@
 
 use super::request::UpstreamId;
 
-/// How long an upstream counts as leaving whose restart would not be seen.
-const COUNTS_FOR: Duration = Duration::from_secs(60);
+/// How long an upstream whose restart cannot be detected counts as leaving.
+const LEAVING_RETENTION: Duration = Duration::from_secs(60);
 
-/// What an upstream said in this life of it.
+/// What an upstream announced since it started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeavingState {
-    said_at: Option<Timestamp>,
+    announced_at: Option<Timestamp>,
     is_unreadable: bool,
 }
 
 impl LeavingState {
-    /// Whether the upstream with this name is leaving: to the end of its life, which the host
-    /// list or the number of its group shows, or for a while where nothing does.
+    /// Whether the upstream is leaving. This lasts until it restarts, which the host list or its
+    /// group number shows, or for `LEAVING_RETENTION` where nothing shows a restart.
     pub fn is_leaving(&self, now: Timestamp, id: &UpstreamId) -> bool {
         match id {
-            UpstreamId::Replica(_) | UpstreamId::Host(..) => self.said_at.is_some(),
-            UpstreamId::Instance(..) => self.said_at.is_some_and(|at| now.since(at) < COUNTS_FOR),
+            UpstreamId::Replica(_) | UpstreamId::Host(..) => self.announced_at.is_some(),
+            UpstreamId::Instance(..) => self
+                .announced_at
+                .is_some_and(|at| now.since(at) < LEAVING_RETENTION),
         }
     }
 
-    /// An answer came with this mark; true if that changes anything. An answer without the mark ends
-    /// nothing: it may be from before the upstream began to leave.
+    /// Handles the mark of an answer; returns whether it changes anything. An answer without the
+    /// mark does not end the state, as it may date from before the upstream began to leave.
     pub fn on_marked(&mut self, now: Timestamp, mark: &LeavingMark) -> bool {
         match mark {
             LeavingMark::Absent => false,
-            LeavingMark::Leaving => self.said_at.replace(now).is_none(),
+            LeavingMark::Leaving => self.announced_at.replace(now).is_none(),
             LeavingMark::Unreadable(_) => !std::mem::replace(&mut self.is_unreadable, true),
         }
     }
--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -1,7 +1,8 @@
-//! Upstreams in need, which name how many requests they take from all daemons together.
+//! Overloaded upstreams that name a limit on the requests they accept from all daemons together.
 //!
-//! A request goes to one of them only with a permit of the limit's owner. Permits are asked for
-//! ahead, while other upstreams serve, and at once for what waits.
+//! A request is sent to such an upstream only with a permit of the limit's owner. Permits are
+//! requested in advance while other upstreams serve, and immediately if requests are waiting for
+//! them.
 
 use std::time::Duration;
 
@@ -11,20 +12,20 @@
 use crate::core::types::{EngineStart, Timestamp};
 
 use super::dispatch::{Router, RouterAction};
-use super::named::{LimitChange, Urgency};
+use super::limit_state::{LimitChange, PermitUrgency};
 use super::request::UpstreamId;
 use super::target::TargetState;
 use super::upstream::Upstream;
 
 impl Router {
-    /// Upstreams with a limit in force, for status pages.
+    /// Upstreams with a limit in force, and the limit.
     pub fn limited_upstreams(&self) -> impl Iterator<Item = (&UpstreamId, RequestRate)> {
         self.upstreams()
             .filter_map(|upstream| Some((&upstream.spec.id, upstream.limit.rate()?)))
     }
 
-    /// Another daemon tells of a limit, as of `told_at`.
-    pub fn learn_limit(
+    /// Applies a limit reported by another daemon at `told_at`.
+    pub fn apply_reported_limit(
         &mut self,
         now: Timestamp,
         told_at: Timestamp,
@@ -46,7 +47,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Permits came that were asked for.
+    /// Handles permits granted by a limit's owner.
     pub fn on_permits(
         &mut self,
         now: Timestamp,
@@ -63,7 +64,8 @@
 }
 
 impl Upstream {
-    /// An answer came to a request that was sent at `sent_at`.
+    /// Handles the limit in the answer to a request sent at `sent_at`. Only a successful answer
+    /// without a limit shows that there is none.
     pub(super) fn on_limit_named(
         &mut self,
         now: Timestamp,
@@ -74,65 +76,65 @@
         if !signal.is_success() && signal.limit == AdvertisedLimit::None {
             return;
         }
-        let Some(change) = self.limit.hear(now, sent_at, signal.limit) else {
+        let Some(change) = self.limit.on_answer(now, sent_at, signal.limit) else {
             return;
         };
         out.push(limit_line(&self.spec.id, &change));
         if !matches!(change, LimitChange::Unreadable(_)) {
-            out.push(RouterAction::TellLimit(report_of(now, self)));
+            out.push(RouterAction::ReportLimit(report_of(now, self)));
         }
     }
 }
 
 impl TargetState {
-    /// Asks for permits of an upstream, unless it was asked lately.
+    /// Requests permits for an upstream, unless they were requested recently.
     pub(super) fn ask_permits(
         &mut self,
         now: Timestamp,
         index: usize,
-        urgency: Urgency,
+        urgency: PermitUrgency,
     ) -> Option<RouterAction> {
         let upstream = self.upstreams.get_mut(index)?;
         let wanted = upstream.limit.permits_wanted(now, urgency)?;
         let known = report_of(now, upstream);
-        Some(RouterAction::AskPermits { known, wanted })
+        Some(RouterAction::RequestPermits { known, wanted })
     }
 
-    /// Asks for permits where requests wait that no upstream without a limit can take: of as
-    /// many upstreams as requests wait.
+    /// Requests permits while queued requests cannot be sent to upstreams without a limit.
+    /// Permits are requested for at most as many upstreams as there are queued requests.
     pub(super) fn ask_permits_for_all(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let is_limited = |u: &Upstream| u.limit.rate().is_some() && u.is_eligible(now);
         let limited: Vec<usize> = (0..self.upstreams.len())
             .filter(|index| is_limited(&self.upstreams[*index]))
             .collect();
-        let awaited = limited
+        let awaiting_permits = limited
             .iter()
             .filter(|index| self.upstreams[**index].limit.awaits_permits(now))
             .count();
-        let most = self.queue.len().saturating_sub(awaited);
-        let asked = limited
+        let max_requests = self.queue.len().saturating_sub(awaiting_permits);
+        let requested = limited
             .into_iter()
-            .filter_map(|index| self.ask_permits(now, index, Urgency::Waited));
-        out.extend(asked.take(most));
+            .filter_map(|index| self.ask_permits(now, index, PermitUrgency::Immediate));
+        out.extend(requested.take(max_requests));
     }
 
-    /// The least time until all that wait and one more are sent, where every upstream has a
-    /// limit: this daemon may get all permits, but not more.
-    pub(super) fn least_wait(&self, now: Timestamp) -> Duration {
+    /// Lower bound of the time until all queued requests and one more are sent, if every upstream
+    /// has a limit: this daemon gets at most all permits. Zero if any upstream has no limit.
+    pub(super) fn min_wait(&self, now: Timestamp) -> Duration {
         let mut rate = 0.0;
-        let mut at_start = 0.0;
+        let mut initial_burst = 0.0;
         for upstream in self.upstreams.iter().filter(|u| u.is_eligible(now)) {
             let Some(limit) = upstream.limit.rate() else {
                 return Duration::ZERO;
             };
             rate += effective_rate(limit);
-            at_start += burst_size(limit);
+            initial_burst += burst_size(limit);
         }
-        let waits = self.queue.len() as f64 + 1.0 - at_start;
-        if rate <= 0.0 || waits <= 0.0 {
+        let remaining = self.queue.len() as f64 + 1.0 - initial_burst;
+        if rate <= 0.0 || remaining <= 0.0 {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64(waits / rate)
+        Duration::from_secs_f64(remaining / rate)
     }
 }
 
@@ -149,14 +151,18 @@
 fn limit_line(upstream: &UpstreamId, change: &LimitChange) -> RouterAction {
     RouterAction::Log(match change {
         LimitChange::Begins(rate) => {
-            format!("{upstream} names a limit of {rate} requests a second from all daemons")
+            format!(
+                "{upstream} names a limit of {rate} requests per second for all daemons together"
+            )
         }
         LimitChange::Changes(rate) => {
-            format!("{upstream} changes its limit to {rate} requests a second from all daemons")
+            format!(
+                "{upstream} changes its limit to {rate} requests per second for all daemons together"
+            )
         }
         LimitChange::Ends => format!("{upstream} names no limit any more"),
         LimitChange::Unreadable(text) => {
-            format!("{upstream} names a limit that can't be read, none is made of it: {text:?}")
+            format!("{upstream} names an invalid limit, which is ignored: {text:?}")
         }
     })
 }
--- a/shalehinge/src/core/router/refusal.rs
+++ b/shalehinge/src/core/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused before they are sent, on arrival and while they wait.
+//! Refusal of requests before they are sent, on arrival and while they wait.
 
 use std::time::Duration;
 
@@ -9,63 +9,64 @@
 use super::quarantine::{Evidence, Quarantine, Quarantined};
 use super::request::{NotRunReason, Outcome, RequestMeta, Target};
 use super::target::Pending;
-use super::trying::TrialState;
+use super::trial::TrialState;
 
-/// Longest time to come back that callers are given.
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Shortest such time, unless the settings ask for less.
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Time after a crash until those who ran there are tried: whatever else crashes with it, and is
-/// still to be heard of, has crashed by then.
-const SETTLING: Duration = Duration::from_millis(1_200);
-/// Time after a crash in which a trial waits for upstreams that are missing.
-const MOST_TRIAL_DELAY: Duration = Duration::from_secs(6);
-/// When the caller of a suspected request should come back that got no trial now.
+/// Longest retry-after time given to callers.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Shortest retry-after time, unless the settings specify a shorter one.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time after a crash before the requests that ran there are tried. By then, related crashes have
+/// occurred and been reported.
+const MIN_TRIAL_DELAY: Duration = Duration::from_millis(1_200);
+/// Time after a crash during which a trial waits for missing upstreams to return.
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(6);
+/// Retry-after time for a suspected request that got no trial.
 pub(super) const SUSPECT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Why a request is refused, and when its caller should come back.
+/// Why a request is refused, and the retry-after time for its caller.
 type Refusal = (NotRunReason, Duration);
 
-/// What decides whether a request that waits is still sent.
-pub(super) struct Waiting<'a> {
+/// Inputs to the decision whether a queued request is still sent.
+pub(super) struct QueuedContext<'a> {
     pub(super) now: Timestamp,
     pub(super) settings: &'a RouterSettings,
     pub(super) quarantine: &'a Quarantine,
-    /// Until when requests with a key may be sent.
-    pub(super) keys_until: Option<Timestamp>,
-    /// Estimated time once it is sent.
+    /// Time until which requests that carry a key may be sent.
+    pub(super) keys_valid_until: Option<Timestamp>,
+    /// Estimated time from sending the request to its complete answer.
     pub(super) service_time: Duration,
     pub(super) pending: &'a Pending,
 }
 
-/// Why the first of those that wait is refused now, if it is.
-pub(super) fn waiting_refusal(waiting: &Waiting<'_>) -> Option<Refusal> {
-    let &Waiting {
+/// Returns the refusal for a queued request that should no longer be sent.
+pub(super) fn queued_refusal(context: &QueuedContext<'_>) -> Option<Refusal> {
+    let &QueuedContext {
         now,
         settings,
         pending,
         ..
-    } = waiting;
+    } = context;
     let meta = &pending.meta;
-    let held = waiting.quarantine.held(now, meta.fingerprint, settings);
+    let held = context.quarantine.active(now, meta.fingerprint, settings);
     let is_tried = matches!(pending.trial, TrialState::At(_));
     if let Some(held) = held.filter(|held| !is_tried || held.evidence == Evidence::Proven) {
         let retry_after = retry_after_of(now, &held, settings).unwrap_or(SUSPECT_RETRY_AFTER);
         return Some((NotRunReason::Quarantined, retry_after));
     }
-    let has_waited = now > pending.came_at;
+    let has_waited = now > pending.arrived_at;
     let is_too_late = settings.early_refusal
         && has_waited
         && pending.attempts == 0
-        && waiting.service_time > meta.deadline.since(now);
+        && context.service_time > meta.deadline.since(now);
     if is_too_late {
         return Some((NotRunReason::WouldBeLate, settings.retry_after));
     }
-    let is_out_of_date = waiting.keys_until.is_some_and(|until| now >= until);
+    let is_out_of_date = context.keys_valid_until.is_some_and(|until| now >= until);
     let needs_key = meta.credential.is_some();
     (needs_key && is_out_of_date).then_some((NotRunReason::OutOfDate, settings.retry_after))
 }
 
-/// Why a request that no upstream can take for this wait is refused, if it can't wait so long.
+/// Returns the refusal for a request if no upstream can take it for `wait` and it cannot wait
+/// that long.
 pub(super) fn unavailable_refusal(
     settings: &RouterSettings,
     wait: Duration,
@@ -78,7 +79,7 @@
     })
 }
 
-/// The outcome of a request that is refused.
+/// The outcome of a refused request.
 pub(super) fn refused((reason, retry_after): Refusal) -> Outcome {
     Outcome::NotRun {
         reason,
@@ -86,46 +87,50 @@
     }
 }
 
-/// The time to come back after this wait: not so short that callers return in vain, nor so long
-/// that other upstreams may serve well before.
+/// Limits a retry-after time: long enough that callers do not return in vain, short enough that
+/// they return soon after other upstreams become available.
 fn bounded_retry_after(wait: Duration, settings: &RouterSettings) -> Duration {
-    let least = settings.retry_after.min(LEAST_RETRY_AFTER);
-    wait.clamp(least, MOST_RETRY_AFTER)
+    let shortest = settings.retry_after.min(MIN_RETRY_AFTER);
+    wait.clamp(shortest, MAX_RETRY_AFTER)
 }
 
-/// When the caller of a request that is held should come back: a suspected one for its trial, one
-/// that is proven as late as is told. `None` if it may be tried now.
+/// Retry-after time for the caller of a quarantined request: until the trial of a suspected
+/// request, or until the quarantine of a proven one ends, up to [`MAX_RETRY_AFTER`]. `None` if
+/// it may be tried now.
 fn retry_after_of(
     now: Timestamp,
     held: &Quarantined,
     settings: &RouterSettings,
 ) -> Option<Duration> {
     let until = match held.evidence {
-        Evidence::Suspected => held.last_lost_at + SETTLING,
+        Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,
         Evidence::Proven => held.last_lost_at + settings.quarantine_for,
     };
-    (now < until).then(|| until.since(now).min(MOST_RETRY_AFTER))
+    (now < until).then(|| until.since(now).min(MAX_RETRY_AFTER))
 }
 
 impl Router {
-    /// Why a new request would be refused now, if it would.
+    /// Returns the refusal that a new request would receive now, if any.
     pub fn refusal(&self, now: Timestamp, meta: &RequestMeta, share: u32) -> Option<Refusal> {
         let Some(state) = self.targets.get(&meta.target) else {
-            return Some((NotRunReason::UnknownTarget, MOST_RETRY_AFTER));
+            return Some((NotRunReason::UnknownTarget, MAX_RETRY_AFTER));
         };
-        let held = self.quarantine.held(now, meta.fingerprint, &self.settings);
+        let held = self
+            .quarantine
+            .active(now, meta.fingerprint, &self.settings);
         if let Some(held) = held {
             if let Some(left) = retry_after_of(now, &held, &self.settings) {
                 return Some((NotRunReason::Quarantined, left));
             }
-            // A trial may end another upstream: it waits until those that ended are back.
-            let may_wait = now < held.last_lost_at + MOST_TRIAL_DELAY;
-            if may_wait && state.usual.is_short(state.present(now)) {
+            // A trial may crash another upstream, so it waits until those that crashed have
+            // returned.
+            let may_wait = now < held.last_lost_at + MAX_TRIAL_DELAY;
+            if may_wait && state.recent_capacity.is_below_recent(state.present(now)) {
                 return Some((NotRunReason::Quarantined, SUSPECT_RETRY_AFTER));
             }
         }
         let retry_after = self.settings.retry_after;
-        let is_out_of_date = self.keys_until.is_some_and(|until| now >= until);
+        let is_out_of_date = self.keys_valid_until.is_some_and(|until| now >= until);
         if is_out_of_date && meta.credential.is_some() {
             return Some((NotRunReason::OutOfDate, retry_after));
         }
@@ -137,11 +142,12 @@
         }
         let time_left = meta.deadline.since(now);
         let wait = state.wait_of(&meta.customer, share, state.cost_of(meta));
-        let wait = wait.max(state.least_wait(now)).max(unavailable_for);
+        let wait = wait.max(state.min_wait(now)).max(unavailable_for);
         let has_room = state.queue.is_empty() && state.upstreams.iter().any(|u| u.is_eligible(now));
         let service_time = state.service_time(meta);
         if has_room {
-            // An estimate from bad times must not keep out what could show better.
+            // Accept the request: estimates from a period of overload must not keep out requests
+            // that would correct them.
             return None;
         }
         let longest_wait = time_left
@@ -154,12 +160,12 @@
             let retry_after = bounded_retry_after(unavailable_for, &self.settings);
             return Some((NotRunReason::NoUpstreamInTime, retry_after));
         }
-        let too_much = wait.saturating_sub(longest_wait);
-        let retry_after = bounded_retry_after(too_much, &self.settings);
+        let excess = wait.saturating_sub(longest_wait);
+        let retry_after = bounded_retry_after(excess, &self.settings);
         Some((NotRunReason::WouldBeLate, retry_after))
     }
 
-    /// When the caller of a request should come back that upstreams turned away.
+    /// Retry-after time for the caller of a request that upstreams refused.
     pub(super) fn retry_after(&self, now: Timestamp, target: &Target) -> Duration {
         let state = self.targets.get(target);
         let unavailable_for = state.and_then(|state| state.unavailable_for(now));
@@ -169,7 +175,7 @@
         }
     }
 
-    /// Refuses a waiting request where too many wait.
+    /// Refuses one queued request if too many are queued.
     pub(super) fn evict_overflow(&mut self, target: &Target, out: &mut Vec<RouterAction>) {
         if self.waiting <= self.settings.max_waiting {
             return;
--- a/shalehinge/src/core/router/stalled.rs
+++ b/shalehinge/src/core/router/stalled.rs
@@ -1,4 +1,4 @@
-//! Replicas that stand still: no request there moves any more, as a member was lost.
+//! Stalled replicas: none of their requests makes progress, as a member was lost.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 use super::request::{Outcome, UnknownReason, UpstreamId};
 use super::upstream::Evidence;
 
-/// A daemon that was not run for so long can't tell who stood still meanwhile.
-const MOST_TICK_GAP: Duration = Duration::from_millis(300);
+/// Longest interval between ticks after which stalls are still detected. A daemon that was paused
+/// for longer cannot tell which upstreams stalled in the meantime.
+const MAX_TICK_GAP: Duration = Duration::from_millis(300);
 
 impl Router {
-    /// Moves what may be repeated away from replicas that stand still.
-    pub(super) fn leave_stalled(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
-        let was_paused = now.since(self.ticked_at) > MOST_TICK_GAP;
+    /// Retries elsewhere what can be retried of the requests on stalled replicas.
+    pub(super) fn handle_stalled(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
+        let was_paused = now.since(self.ticked_at) > MAX_TICK_GAP;
         self.ticked_at = now;
         let settings = self.settings;
         let mut stalled = Vec::new();
@@ -28,14 +29,14 @@
             }
         }
         for id in stalled {
-            out.push(RouterAction::Log(format!("{id} stands still")));
-            self.move_away(now, &id, out);
+            out.push(RouterAction::Log(format!("{id} is stalled")));
+            self.retry_elsewhere(now, &id, out);
         }
     }
 
-    /// A replica surely lost a member: it gets nothing more, and what may be repeated
-    /// moves away at once.
-    pub fn lose(
+    /// Handles the definite loss of a replica's member: the replica receives no further requests,
+    /// and what can be retried of its requests is retried elsewhere immediately.
+    pub fn on_replica_lost(
         &mut self,
         now: Timestamp,
         replica: &ReplicaId,
@@ -50,35 +51,35 @@
         let Some(upstream) = upstreams.find(|upstream| upstream.spec.id == id) else {
             return;
         };
-        // Where engines report, their reports decide who may be sent requests.
+        // Where engines report, their reports decide which upstreams receive requests.
         if upstream.is_lost() || upstream.spec.evidence == Evidence::Reports {
             return;
         }
-        upstream.on_lost();
+        upstream.mark_lost();
         out.push(RouterAction::Log(format!("{id} lost a member")));
-        self.move_away(now, &id, out);
+        self.retry_elsewhere(now, &id, out);
         self.dispatch_all(now, rng, out);
     }
 
-    fn move_away(&mut self, now: Timestamp, id: &UpstreamId, out: &mut Vec<RouterAction>) {
-        let movable: Vec<RequestId> = self
+    fn retry_elsewhere(&mut self, now: Timestamp, id: &UpstreamId, out: &mut Vec<RouterAction>) {
+        let retryable: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| {
                 let runs_there = pending.running.as_ref().is_some_and(|r| r.upstream == *id);
-                let is_whole = !pending.seen_output || pending.meta.is_resumable;
-                runs_there && pending.meta.repeatable && is_whole
+                let is_restartable = !pending.has_output || pending.meta.is_resumable;
+                runs_there && pending.meta.repeatable && is_restartable
             })
             .map(|(request, _)| *request)
             .collect();
-        for request in movable {
+        for request in retryable {
             let Some(pending) = self.pending.get_mut(&request) else {
                 continue;
             };
             let Some(running) = pending.running.take() else {
                 continue;
             };
-            pending.runs += 1;
+            pending.possible_runs += 1;
             if let Some(state) = self.targets.get_mut(&pending.meta.target) {
                 state.release(&running);
             }
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -1,4 +1,4 @@
-//! What the router learns of requests that may crash their upstreams, and tells of them.
+//! Collects evidence of requests that crash their upstreams, and exchanges it with other daemons.
 
 use std::time::Duration;
 
@@ -6,51 +6,51 @@
 use crate::core::types::{RequestId, Timestamp};
 
 use super::dispatch::{Router, RouterAction};
-use super::quarantine::{Completion, Evidence, Loss, QuarantineNews, Quarantined};
+use super::quarantine::{Completion, Evidence, Loss, QuarantineUpdate, Quarantined};
 use super::request::{AttemptEnd, Outcome, Target, UpstreamId};
 
-/// Attempts that broke off at an upstream, until it is known whether it crashed.
+/// Attempts that were lost at an upstream, until it is known whether the upstream crashed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Unexplained {
+pub(super) struct PendingCheck {
     losses: Vec<Loss>,
-    /// Requests that are tried again, or not, once it is known.
+    /// Requests to retry or answer once it is known.
     waiting: Vec<(RequestId, Outcome)>,
 }
 
-/// What a request asked, and of what.
+/// The content and target of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct RequestSubject {
     pub(super) fingerprint: Fingerprint,
     pub(super) target: Target,
 }
 
 impl Router {
-    /// How long a request is still refused, if it is quarantined.
+    /// How long a request remains quarantined; `None` if it is not.
     pub fn quarantined_for(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
         self.quarantine.time_left(now, fingerprint, &self.settings)
     }
 
-    /// All requests that are quarantined.
+    /// All requests that are quarantined now.
     pub fn quarantined(&self, now: Timestamp) -> impl Iterator<Item = Quarantined> {
         self.quarantine.all(now, &self.settings)
     }
 
-    /// Learns from the end of an attempt. One that was refused or not sent shows nothing, and
-    /// one that stood still shows a lost member rather than a crash.
-    pub(super) fn learn_from(
+    /// Collects evidence from the end of an attempt. An attempt that was refused or not sent
+    /// shows nothing, and a stalled one indicates a lost member rather than a crash.
+    pub(super) fn record_evidence(
         &mut self,
         now: Timestamp,
         request: RequestId,
-        asked: &Asked,
+        subject: &RequestSubject,
         upstream: &UpstreamId,
         end: AttemptEnd,
         out: &mut Vec<RouterAction>,
     ) {
-        let fingerprint = asked.fingerprint;
+        let fingerprint = subject.fingerprint;
         match end {
             AttemptEnd::Lost => {
                 out.push(RouterAction::Log(format!(
-                    "request {} broke off at {upstream}, asks {fingerprint}",
+                    "request {} was lost at {upstream}, asks {fingerprint}",
                     request.0
                 )));
                 let loss = Loss {
@@ -58,14 +58,14 @@
                     upstream: upstream.clone(),
                     at: now,
                 };
-                self.look_for(&asked.target, loss, out);
+                self.check_after_loss(&subject.target, loss, out);
             }
             AttemptEnd::Completed { .. } | AttemptEnd::Failed { .. } => {
                 let completion = Completion {
                     fingerprint,
                     at: now,
                 };
-                if self.quarantine.note_completion(completion) {
+                if self.quarantine.record_completion(completion) {
                     out.push(no_longer_quarantined(fingerprint));
                 }
             }
@@ -73,18 +73,18 @@
         }
     }
 
-    /// A broken connection alone is no crash: an upstream that is still there may have cut
-    /// one answer short, and a request that is sent again and again to such an upstream crashes
-    /// none.
-    fn look_for(&mut self, target: &Target, loss: Loss, out: &mut Vec<RouterAction>) {
+    /// Requests a check of the upstream after a loss. A broken connection alone does not show a
+    /// crash: an upstream that is still running may have cut one answer short, and a request
+    /// repeated to such an upstream crashes none.
+    fn check_after_loss(&mut self, target: &Target, loss: Loss, out: &mut Vec<RouterAction>) {
         if self.settings.quarantine_after == 0 {
             return;
         }
         let upstream = loss.upstream.clone();
-        let unexplained = self.unexplained.entry(upstream.clone()).or_default();
-        unexplained.losses.push(loss);
-        if unexplained.losses.len() > 1 {
-            // Its answer tells for all that broke off meanwhile.
+        let check = self.pending_checks.entry(upstream.clone()).or_default();
+        check.losses.push(loss);
+        if check.losses.len() > 1 {
+            // The check already under way covers all attempts lost in the meantime.
             return;
         }
         let state = self.targets.get_mut(target);
@@ -94,41 +94,42 @@
                 out.push(RouterAction::CheckUpstream { upstream, address });
             }
             None => {
-                self.unexplained.remove(&upstream);
+                self.pending_checks.remove(&upstream);
             }
         }
     }
 
-    /// Whether a request may be in quarantine once it is known what became of the upstream.
-    pub(super) fn awaits_check(&self, asked: &Asked, upstream: &UpstreamId) -> bool {
-        let Some(unexplained) = self.unexplained.get(upstream) else {
+    /// Whether the request would be quarantined if the check of the upstream shows a crash.
+    pub(super) fn awaits_check(&self, subject: &RequestSubject, upstream: &UpstreamId) -> bool {
+        let Some(check) = self.pending_checks.get(upstream) else {
             return false;
         };
-        let of_request = |loss: &&Loss| loss.fingerprint == asked.fingerprint;
-        let is_there = unexplained.losses.iter().any(|loss| of_request(&loss));
-        let elsewhere = self.unexplained.values().flat_map(|known| &known.losses);
+        let of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
+        let is_there = check.losses.iter().any(|loss| of_request(&loss));
+        let elsewhere = self.pending_checks.values().flat_map(|known| &known.losses);
         let crashes =
-            self.quarantine.crashes(asked.fingerprint) + elsewhere.filter(of_request).count();
+            self.quarantine.crashes(subject.fingerprint) + elsewhere.filter(of_request).count();
         is_there && crashes >= self.settings.quarantine_after as usize
     }
 
-    /// Holds back what becomes of a request until the upstream was looked for.
-    pub(super) fn wait_for_check(
+    /// Holds back the outcome of a request until the upstream has been checked.
+    pub(super) fn hold_until_checked(
         &mut self,
         upstream: &UpstreamId,
         request: RequestId,
         outcome: Outcome,
     ) {
-        if let Some(unexplained) = self.unexplained.get_mut(upstream) {
-            unexplained.waiting.push((request, outcome));
+        if let Some(check) = self.pending_checks.get_mut(upstream) {
+            check.waiting.push((request, outcome));
         }
         if let Some(pending) = self.pending.get_mut(&request) {
-            // Its caller may leave, or its key be taken away, before the look has ended.
-            pending.earlier = Some(outcome);
+            // The caller may leave, or its key may be revoked, before the check ends.
+            pending.earlier_outcome = Some(outcome);
         }
     }
 
-    /// It was looked whether an upstream is still there after attempts broke off.
+    /// Handles the result of a check whether an upstream is still running after attempts were
+    /// lost.
     pub fn on_upstream_checked(
         &mut self,
         now: Timestamp,
@@ -137,9 +138,10 @@
         rng: &mut impl rand::Rng,
         out: &mut Vec<RouterAction>,
     ) {
-        let Unexplained { losses, waiting } = self.unexplained.remove(upstream).unwrap_or_default();
+        let PendingCheck { losses, waiting } =
+            self.pending_checks.remove(upstream).unwrap_or_default();
         if is_gone {
-            self.note_crash(upstream, losses, out);
+            self.record_crash(upstream, losses, out);
         }
         for (request, outcome) in waiting {
             self.retry_or_answer(now, request, outcome, out);
@@ -147,75 +149,80 @@
         self.dispatch_all(now, rng, out);
     }
 
-    fn note_crash(
+    fn record_crash(
         &mut self,
         upstream: &UpstreamId,
         losses: Vec<Loss>,
         out: &mut Vec<RouterAction>,
     ) {
         out.push(RouterAction::Log(format!(
-            "{upstream} crashed while it ran {} requests of this daemon",
+            "{upstream} crashed while running {} requests of this daemon",
             losses.len()
         )));
-        let tried = losses.iter().find(|loss| self.was_tried(loss)).cloned();
-        if let Some(loss) = tried {
-            // It explains the crash: what ran beside it is not counted.
-            self.quarantine.prove(&loss);
+        let on_trial = losses.iter().find(|loss| self.was_on_trial(loss)).cloned();
+        if let Some(loss) = on_trial {
+            // The request on trial explains the crash, so the requests that ran beside it are not
+            // counted.
+            self.quarantine.mark_proven(&loss);
             out.push(proven(loss.fingerprint));
             return;
         }
         for loss in losses {
             let fingerprint = loss.fingerprint;
-            if self.quarantine.note_loss(loss, &self.settings) {
+            if self.quarantine.record_loss(loss, &self.settings) {
                 out.push(quarantined(fingerprint));
             }
         }
     }
 
-    /// Takes in what another daemon tells.
-    pub fn learn_quarantine(&mut self, news: QuarantineNews, out: &mut Vec<RouterAction>) {
-        for completion in news.completions {
-            if self.quarantine.learn_completion(completion) {
+    /// Applies quarantine changes of another daemon.
+    pub fn apply_quarantine_update(
+        &mut self,
+        update: QuarantineUpdate,
+        out: &mut Vec<RouterAction>,
+    ) {
+        for completion in update.completions {
+            if self.quarantine.apply_remote_completion(completion) {
                 out.push(no_longer_quarantined(completion.fingerprint));
             }
         }
-        for held in news.quarantined {
-            if self.quarantine.learn_quarantined(held) {
+        for held in update.quarantined {
+            if self.quarantine.apply_remote_quarantine(held) {
                 out.push(match held.evidence {
                     Evidence::Suspected => quarantined(held.fingerprint),
                     Evidence::Proven => proven(held.fingerprint),
                 });
             }
         }
-        for loss in news.losses {
+        for loss in update.losses {
             let fingerprint = loss.fingerprint;
-            if self.quarantine.learn_loss(loss, &self.settings) {
+            if self.quarantine.apply_remote_loss(loss, &self.settings) {
                 out.push(quarantined(fingerprint));
             }
         }
     }
 
-    /// What other daemons should be told, once.
-    pub fn take_quarantine_news(&mut self, now: Timestamp) -> QuarantineNews {
-        self.quarantine.forget_old(now, &self.settings);
-        self.quarantine.take_news()
+    /// Takes the quarantine changes to tell other daemons; each is returned once.
+    pub fn take_quarantine_update(&mut self, now: Timestamp) -> QuarantineUpdate {
+        self.quarantine.remove_expired(now, &self.settings);
+        self.quarantine.take_update()
     }
 }
 
 fn proven(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "quarantines what asks {fingerprint}: an upstream crashed while it was tried there alone"
+        "quarantines any request that asks {fingerprint}: an upstream crashed during its trial"
     ))
 }
 
 fn quarantined(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "suspects what asks {fingerprint}: several upstreams crashed while they ran it, and none completed it; it is tried alone next"
+        "suspects any request that asks {fingerprint}: several upstreams crashed while running it and none completed it; it will be run alone in a trial"
     ))
 }
 
 fn no_longer_quarantined(fingerprint: Fingerprint) -> RouterAction {
     RouterAction::Log(format!(
-        "what asks {fingerprint} is no longer quarantined or suspected: an upstream answered it"
+        "any request that asks {fingerprint} is no longer quarantined or suspected: an upstream answered it"
     ))
 }
--- a/shalehinge/src/core/router/target.rs
+++ b/shalehinge/src/core/router/target.rs
@@ -1,56 +1,56 @@
-//! One target: its upstreams, its waiting line, and what is learned of it.
+//! State of one target: its upstreams, its queue and what was learned from its requests.
 
 use std::time::Duration;
 
 use crate::core::types::{AttemptId, Customer, RequestId, Timestamp};
 use crate::settings::router::RouterSettings;
 
-use super::capacity::UsualCapacity;
+use super::capacity::RecentCapacity;
 use super::choose::{Choice, ChoiceContext, Selection, choose, typical_interval};
 use super::estimate::{DrainRate, LowerEnvelope, SmoothedDuration};
-use super::failing::{FailingRequests, Fault};
+use super::failing::{FailingRequests, FailureCause};
 use super::prefix::BLOCK_TOKENS;
-use super::queue::Waiting;
+use super::queue::QueuedRequest;
 use super::request::{Attempt, AttemptEnd, Outcome, RequestMeta, UpstreamId};
-use super::trying::TrialState;
+use super::trial::TrialState;
 use super::upstream::{Upstream, Work};
 use super::wait_queue::WaitQueue;
 
-/// Output expected of a request before any was seen, as a part of what it asks for.
-const FIRST_OUTPUT_PART: f64 = 0.5;
+/// Expected output of a request before any was measured, as a fraction of its maximum.
+const INITIAL_OUTPUT_FRACTION: f64 = 0.5;
 /// HTTP statuses from here on are the upstream's fault.
 pub(super) const FIRST_SERVER_ERROR: u16 = 500;
 
-/// A request between submission and answer.
+/// A request that has been submitted and not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
     pub(super) meta: RequestMeta,
-    pub(super) came_at: Timestamp,
+    pub(super) arrived_at: Timestamp,
     pub(super) attempts: u32,
-    /// Attempts that may have run.
-    pub(super) runs: u32,
+    /// Number of attempts that may have run.
+    pub(super) possible_runs: u32,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) running: Option<Running>,
-    pub(super) seen_output: bool,
-    /// What an earlier attempt came to that may have run.
-    pub(super) earlier: Option<Outcome>,
+    pub(super) has_output: bool,
+    /// Outcome of an earlier attempt that may have run.
+    pub(super) earlier_outcome: Option<Outcome>,
     pub(super) cost: f64,
     pub(super) share: u32,
     pub(super) trial: TrialState,
 }
 
 impl Pending {
-    /// The request's outcome, if its last attempt came to this: what may have
-    /// run once can't be said not to have run.
+    /// The request's outcome if its last attempt ended in this way. A request that may have run
+    /// in an earlier attempt cannot be reported as not run.
     pub(super) fn outcome(&self, last: Outcome) -> Outcome {
         match last {
-            Outcome::NotRun { .. } => self.earlier.unwrap_or(last),
+            Outcome::NotRun { .. } => self.earlier_outcome.unwrap_or(last),
             _ => last,
         }
     }
 }
 
-/// The attempt that runs.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
     pub(super) id: AttemptId,
@@ -60,31 +60,32 @@
     pub(super) work: Work,
 }
 
-/// What is kept for one target.
+/// State of one target.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetState {
     pub(super) upstreams: Vec<Upstream>,
     pub(super) queue: WaitQueue,
     pub(super) drain: DrainRate,
     pub(super) first_token: SmoothedDuration,
-    /// Time to the first token where nothing has to wait for it.
+    /// Time to first token of a request that does not have to wait.
     pub(super) fastest_first: LowerEnvelope,
     pub(super) token_interval: SmoothedDuration,
-    pub(super) output_part: Option<f64>,
-    pub(super) turn: usize,
+    pub(super) output_fraction: Option<f64>,
+    pub(super) sent_count: usize,
     pub(super) failing: FailingRequests,
-    pub(super) usual: UsualCapacity,
+    pub(super) recent_capacity: RecentCapacity,
 }
 
 impl TargetState {
-    /// Upstreams that are there, also those that get nothing new for a while.
+    /// Number of upstreams that are present, including those that get no new requests at the
+    /// moment.
     pub(super) fn present(&self, now: Timestamp) -> usize {
         let present = self.upstreams.iter().filter(|u| u.is_present(now));
         present.count()
     }
 
     pub(super) fn enqueue(&mut self, request: RequestId, pending: &Pending, timely_first: bool) {
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             request,
             cost: pending.cost,
             priority: pending.meta.priority,
@@ -95,38 +96,40 @@
             .push(&pending.meta.customer, pending.share, waiting);
     }
 
-    /// When a request must be sent to be on time. One that was sent before goes on
-    /// without delay, as part of it may have run.
+    /// Latest time to send a request so that it meets its target time. A request that was sent
+    /// before has none and is not demoted, as part of it may have run.
     fn start_by(&self, pending: &Pending) -> Option<Timestamp> {
-        let aim = pending.meta.first_output_within?;
+        let target_time = pending.meta.first_output_within?;
         let fastest = self.fastest_first.get()?;
         let is_new = pending.attempts == 0;
-        is_new.then(|| pending.came_at + aim.saturating_sub(fastest))
+        is_new.then(|| pending.arrived_at + target_time.saturating_sub(fastest))
     }
 
     pub(super) fn expected_output(&self, meta: &RequestMeta) -> f64 {
-        f64::from(meta.max_output_tokens) * self.output_part.unwrap_or(FIRST_OUTPUT_PART)
+        f64::from(meta.max_output_tokens) * self.output_fraction.unwrap_or(INITIAL_OUTPUT_FRACTION)
     }
 
-    /// Estimated tokens that a request costs, prompt held nowhere.
+    /// Estimated cost of a request in tokens if its prompt is not cached.
     pub(super) fn cost_of(&self, meta: &RequestMeta) -> f64 {
         f64::from(meta.prompt_tokens) + self.expected_output(meta) + 1.0
     }
 
-    /// Estimated time of a request once it is sent.
+    /// Estimated time from sending a request to its complete answer.
     pub(super) fn service_time(&self, meta: &RequestMeta) -> Duration {
         let first = self.first_token.get().unwrap_or_default();
         let interval = self.token_interval.get().unwrap_or_default();
         first + interval.mul_f64(self.expected_output(meta))
     }
 
-    /// Estimated wait of a new request of this customer.
+    /// Estimated queueing time of a new request of this customer.
     pub(super) fn wait_of(&self, customer: &Customer, share: u32, cost: f64) -> Duration {
         if self.queue.is_empty() {
             return Duration::ZERO;
         }
-        let (ahead, part) = self.queue.ahead(customer, share);
-        self.drain.wait(ahead + cost, part).unwrap_or_default()
+        let (queued_ahead, fraction) = self.queue.queued_ahead(customer, share);
+        self.drain
+            .wait(queued_ahead + cost, fraction)
+            .unwrap_or_default()
     }
 
     pub(super) fn choose_for(
@@ -144,8 +147,8 @@
             settings,
             prefix: &pending.meta.prefix,
             work: self.work_of(&pending.meta, 0),
-            tried: &pending.tried,
-            turn: self.turn,
+            excluded: &pending.tried,
+            sent_count: self.sent_count,
         };
         let selection = choose(&self.upstreams, &context, rng);
         if selection.choice.is_some() || pending.tried.is_empty() {
@@ -156,12 +159,19 @@
         if self.upstreams.iter().any(may_be_untried) {
             return selection;
         }
-        // With every upstream tried, one may be tried again.
-        let tried = &[];
-        choose(&self.upstreams, &ChoiceContext { tried, ..context }, rng)
+        // All available upstreams have been tried, so allow trying one again.
+        let excluded = &[];
+        choose(
+            &self.upstreams,
+            &ChoiceContext {
+                excluded,
+                ..context
+            },
+            rng,
+        )
     }
 
-    /// A trial goes to its upstream alone: at another one it may run beside another trial.
+    /// A trial runs on its assigned upstream only: elsewhere it might run beside another trial.
     fn trial_choice(&self, now: Timestamp, id: &UpstreamId) -> Selection {
         let is_trial_upstream = |u: &Upstream| u.spec.id == *id && u.may_be_sent(now);
         let index = self.upstreams.iter().position(is_trial_upstream);
@@ -171,9 +181,9 @@
         }
     }
 
-    pub(super) fn work_of(&self, meta: &RequestMeta, held_blocks: usize) -> Work {
-        let held = f64::from(BLOCK_TOKENS) * held_blocks as f64;
-        let prompt = (f64::from(meta.prompt_tokens) - held).max(0.0);
+    pub(super) fn work_of(&self, meta: &RequestMeta, cached_blocks: usize) -> Work {
+        let cached_tokens = f64::from(BLOCK_TOKENS) * cached_blocks as f64;
+        let prompt = (f64::from(meta.prompt_tokens) - cached_tokens).max(0.0);
         let output = self.expected_output(meta);
         Work {
             tokens: prompt + output,
@@ -189,11 +199,11 @@
         id: AttemptId,
         index: usize,
     ) -> Attempt {
-        let held = self.upstreams[index]
+        let cached_blocks = self.upstreams[index]
             .prefixes
             .matching_blocks(&pending.meta.prefix);
-        let work = self.work_of(&pending.meta, held);
-        self.turn = self.turn.wrapping_add(1);
+        let work = self.work_of(&pending.meta, cached_blocks);
+        self.sent_count = self.sent_count.wrapping_add(1);
         self.drain.record(now, pending.cost, !self.queue.is_empty());
         let upstream = &mut self.upstreams[index];
         upstream.on_sent(now, work);
@@ -224,57 +234,60 @@
         self.upstreams.iter_mut().find(|u| u.spec.id == *id)
     }
 
-    /// Frees what an attempt held.
+    /// Releases the resources held by an attempt.
     pub(super) fn release(&mut self, running: &Running) {
         if let Some(upstream) = self.upstream_mut(&running.upstream) {
             upstream.on_ended(running.sent_at, running.work, running.first_at.is_some());
         }
     }
 
-    /// Learns from the end of an attempt. Returns what a failure shows, if it was one.
-    pub(super) fn settle(
+    /// Updates the state from the end of an attempt. If the upstream returned a failure, returns
+    /// what it is attributed to.
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
         settings: &RouterSettings,
         pending: &Pending,
         running: &Running,
         end: AttemptEnd,
-    ) -> Option<Fault> {
+    ) -> Option<FailureCause> {
         self.release(running);
         let fingerprint = pending.meta.fingerprint;
         match end {
             AttemptEnd::Completed { output_tokens } => {
-                self.failing.note_completion(fingerprint);
-                self.learn(now, pending, running, output_tokens);
+                self.failing.record_completion(fingerprint);
+                self.record_attempt_completion(now, pending, running, output_tokens);
                 self.eject_if_slow(now, settings, &running.upstream);
             }
             AttemptEnd::NotSent | AttemptEnd::Lost => {
                 if let Some(upstream) = self.upstream_mut(&running.upstream) {
-                    upstream.contradict(now);
+                    upstream.invalidate_evidence(now);
                 }
-                self.blame(now, settings, &running.upstream);
+                self.record_upstream_failure(now, settings, &running.upstream);
             }
             AttemptEnd::Refused => {
                 if let Some(upstream) = self.upstream_mut(&running.upstream) {
-                    upstream.contradict(now);
+                    upstream.invalidate_evidence(now);
                 }
             }
-            // The caller's mistake, not the upstream's.
+            // An error of the caller, not of the upstream.
             AttemptEnd::Failed { status } if status < FIRST_SERVER_ERROR => {}
             AttemptEnd::Failed { .. } => {
                 let upstream = &running.upstream;
-                let fault = self.failing.note_failure(now, fingerprint, upstream);
-                if fault == Fault::OfUpstream {
-                    self.blame(now, settings, upstream);
+                let cause = self.failing.record_failure(now, fingerprint, upstream);
+                if cause == FailureCause::Upstream {
+                    self.record_upstream_failure(now, settings, upstream);
                 }
-                return Some(fault);
+                return Some(cause);
+            }
+            AttemptEnd::WrongAnswer => {
+                self.record_upstream_failure(now, settings, &running.upstream)
             }
-            AttemptEnd::WrongAnswer => self.blame(now, settings, &running.upstream),
         }
         None
     }
 
-    pub(super) fn learn(
+    pub(super) fn record_attempt_completion(
         &mut self,
         now: Timestamp,
         pending: &Pending,
@@ -296,17 +309,22 @@
         let wanted = f64::from(pending.meta.max_output_tokens);
         if tokens > 0 && wanted > 0.0 {
             const SMOOTHING: f64 = 0.02;
-            let part = (f64::from(tokens) / wanted).min(1.0);
-            let known = self.output_part.unwrap_or(FIRST_OUTPUT_PART);
-            self.output_part = Some(known + SMOOTHING * (part - known));
+            let fraction = (f64::from(tokens) / wanted).min(1.0);
+            let known = self.output_fraction.unwrap_or(INITIAL_OUTPUT_FRACTION);
+            self.output_fraction = Some(known + SMOOTHING * (fraction - known));
             let actual = f64::from(pending.meta.prompt_tokens) + f64::from(tokens) + 1.0;
             self.queue
                 .correct(&pending.meta.customer, pending.cost, actual);
         }
     }
 
-    /// Counts a failure, and ejects the upstream if it is due and others remain.
-    pub(super) fn blame(&mut self, now: Timestamp, settings: &RouterSettings, id: &UpstreamId) {
+    /// Records a failure of an upstream, and ejects it if that is due and enough others remain.
+    pub(super) fn record_upstream_failure(
+        &mut self,
+        now: Timestamp,
+        settings: &RouterSettings,
+        id: &UpstreamId,
+    ) {
         let may_eject = self.may_eject(now, settings);
         let Some(upstream) = self.upstream_mut(id) else {
             return;
--- a/shalehinge/src/core/router/topology.rs
+++ b/shalehinge/src/core/router/topology.rs
@@ -1,8 +1,8 @@
-//! Which upstreams a daemon considers, from the objects in force.
+//! Selects the upstreams that a daemon considers, based on the objects in force.
 //!
-//! A daemon looks at a bounded subset of a model's replicas, chosen by
-//! rendezvous hash: mostly of its own failure domain, some of the others. So
-//! its reports and memory stay bounded however large the fleet becomes.
+//! A daemon considers a bounded subset of a model's replicas, chosen by rendezvous hashing:
+//! mostly from its own failure domain, some from others. This bounds its reports and memory
+//! regardless of the size of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -15,13 +15,13 @@
 use super::request::{Target, UpstreamId};
 use super::upstream::{Evidence, UpstreamSpec};
 
-/// The considered upstreams of each target.
+/// The considered upstreams by target.
 pub type Topology = BTreeMap<Target, Vec<UpstreamSpec>>;
 
-/// Builds the topology of one daemon.
+/// Builds the topology of a daemon in failure domain `domain`.
 pub fn build(
     state: &FleetState,
-    me: &DaemonId,
+    daemon: &DaemonId,
     domain: &FailureDomain,
     settings: &RouterSettings,
 ) -> Topology {
@@ -32,7 +32,7 @@
     for model in fleet.value.models.keys().chain(fleet.value.profiles.keys()) {
         topology.insert(Target::Model(model.clone()), Vec::new());
     }
-    let mut by_target = replicas(state, domain);
+    let mut by_target = assigned_replicas(state, domain);
     for (target, specs) in listed_replicas(state, domain) {
         by_target.entry(target).or_default().extend(specs);
     }
@@ -40,7 +40,7 @@
         let Some(entry) = topology.get_mut(&target) else {
             continue;
         };
-        *entry = subset(specs, me, settings);
+        *entry = subset(specs, daemon, settings);
     }
     for (name, service) in &fleet.value.services {
         let configured = service.upstreams.iter().map(|upstream| UpstreamSpec {
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Replicas whose rank 0 tells the host list that it takes requests.
+/// Replicas whose rank 0 states in the host list that it accepts requests.
 fn listed_replicas(
     state: &FleetState,
     domain: &FailureDomain,
@@ -126,7 +126,10 @@
     replicas
 }
 
-fn replicas(state: &FleetState, domain: &FailureDomain) -> BTreeMap<Target, Vec<UpstreamSpec>> {
+fn assigned_replicas(
+    state: &FleetState,
+    domain: &FailureDomain,
+) -> BTreeMap<Target, Vec<UpstreamSpec>> {
     let mut replicas: BTreeMap<Target, Vec<UpstreamSpec>> = BTreeMap::new();
     for (group_domain, assignment) in state.assignments() {
         for (number, group) in &assignment.value.groups {
@@ -156,7 +159,8 @@
     replicas
 }
 
-/// Forming groups are considered too: evidence decides when they serve.
+/// Whether a group may get new work. Forming groups are included: evidence decides when they
+/// serve.
 fn accepts_new(state: &FleetState, group: &Group) -> bool {
     group.phase != GroupPhase::Retiring
         && !group
@@ -177,16 +181,20 @@
     draining || is_listed_leaving(state, host)
 }
 
-fn subset(specs: Vec<UpstreamSpec>, me: &DaemonId, settings: &RouterSettings) -> Vec<UpstreamSpec> {
+fn subset(
+    specs: Vec<UpstreamSpec>,
+    daemon: &DaemonId,
+    settings: &RouterSettings,
+) -> Vec<UpstreamSpec> {
     let (remote, local): (Vec<_>, Vec<_>) = specs.into_iter().partition(|spec| spec.remote);
-    let mut chosen = top_by_hash(local, me, settings.local_candidates);
-    chosen.extend(top_by_hash(remote, me, settings.remote_candidates));
+    let mut chosen = top_by_hash(local, daemon, settings.local_candidates);
+    chosen.extend(top_by_hash(remote, daemon, settings.remote_candidates));
     chosen
 }
 
-fn top_by_hash(specs: Vec<UpstreamSpec>, me: &DaemonId, count: usize) -> Vec<UpstreamSpec> {
+fn top_by_hash(specs: Vec<UpstreamSpec>, daemon: &DaemonId, count: usize) -> Vec<UpstreamSpec> {
     let chosen: Vec<UpstreamId> =
-        hash::highest_weighted(me, specs.iter().map(|spec| &spec.id), count)
+        hash::highest_weighted(daemon, specs.iter().map(|spec| &spec.id), count)
             .into_iter()
             .cloned()
             .collect();
--- a/shalehinge/src/core/router/trying.rs
+++ b/shalehinge/src/core/router/trial.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected to crash upstreams, and the trials that clear or prove them.
+//! Trials of requests that are suspected to crash upstreams.
 
 use std::time::Duration;
 
@@ -14,33 +14,33 @@
 use super::request::{NotRunReason, Outcome, UpstreamId};
 use super::target::Pending;
 
-/// How long a request waits for its trial before its caller is told to come back.
+/// How long a request waits for a trial before its caller is told to retry later.
 const TRIAL_WAIT: Duration = Duration::from_millis(500);
-/// Upstreams that are named in a question for a trial.
-const MOST_CANDIDATES: usize = 8;
+/// Maximum number of candidate upstreams named in a trial request.
+const MAX_CANDIDATES: usize = 8;
 
-/// What becomes of a suspected request that could not be tried.
+/// Outcome of a suspected request that got no trial.
 pub(super) const NO_TRIAL: Outcome = Outcome::NotRun {
     reason: NotRunReason::Quarantined,
     retry_after: SUSPECT_RETRY_AFTER,
 };
 
-/// Where a suspected request stands.
+/// Trial state of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum TrialState {
-    /// It is no suspect, as far as is known.
+    /// The request is not known to be suspected.
     None,
-    /// A trial was asked for; without one it is refused then.
-    Asked {
-        /// When it is refused.
+    /// A trial was requested; without one, the request is refused at `until`.
+    Requested {
+        /// When the request is refused.
         until: Timestamp,
     },
-    /// It is tried at this upstream alone.
+    /// The request is tried at this upstream only.
     At(UpstreamId),
 }
 
 impl Router {
-    /// Holds a suspected request back until it may be tried.
+    /// Holds back a suspected request and requests a trial for it.
     pub(super) fn hold_for_trial(
         &mut self,
         now: Timestamp,
@@ -53,24 +53,24 @@
             return;
         };
         let eligible = state.upstreams.iter().filter(|u| u.may_be_sent(now));
-        let candidates = eligible.choose_multiple(rng, MOST_CANDIDATES);
-        let question = TrialRequest {
+        let candidates = eligible.choose_multiple(rng, MAX_CANDIDATES);
+        let trial_request = TrialRequest {
             fingerprint: pending.meta.fingerprint,
             target: pending.meta.target.clone(),
             candidates: candidates.iter().map(|u| u.spec.id.clone()).collect(),
         };
         out.push(RouterAction::Log(format!(
-            "request {} may crash upstreams, asks for a trial of {}",
-            request.0, question.fingerprint
+            "request {} may crash upstreams; requests a trial of {}",
+            request.0, trial_request.fingerprint
         )));
-        pending.trial = TrialState::Asked {
+        pending.trial = TrialState::Requested {
             until: now + TRIAL_WAIT,
         };
         self.pending.insert(request, pending);
-        out.push(RouterAction::AskTrial(question));
+        out.push(RouterAction::RequestTrial(trial_request));
     }
 
-    /// A request may be tried.
+    /// Handles a granted trial.
     pub fn on_trial(
         &mut self,
         now: Timestamp,
@@ -79,8 +79,8 @@
         out: &mut Vec<RouterAction>,
     ) {
         let is_held = |pending: &Pending| {
-            let asked = matches!(pending.trial, TrialState::Asked { .. });
-            asked && pending.meta.fingerprint == grant.fingerprint
+            let is_requested = matches!(pending.trial, TrialState::Requested { .. });
+            is_requested && pending.meta.fingerprint == grant.fingerprint
         };
         let held = self
             .pending
@@ -90,7 +90,7 @@
             return;
         };
         out.push(RouterAction::Log(format!(
-            "request {} is tried alone at {}",
+            "request {} is run alone at {} in a trial",
             request.0, grant.upstream
         )));
         pending.trial = TrialState::At(grant.upstream.clone());
@@ -102,30 +102,32 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Refuses what got no trial in time, and sends what was cleared meanwhile.
-    pub(super) fn check_held(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
+    /// Refuses requests that got no trial in time, and queues those that have been cleared.
+    pub(super) fn update_held(&mut self, now: Timestamp, out: &mut Vec<RouterAction>) {
         let (quarantine, settings) = (&self.quarantine, &self.settings);
-        self.tried
-            .retain(|asked, _| quarantine.held(now, *asked, settings).is_some());
+        self.trial_upstreams
+            .retain(|fingerprint, _| quarantine.active(now, *fingerprint, settings).is_some());
         let held: Vec<(RequestId, Timestamp, Fingerprint)> = self
             .pending
             .iter()
             .filter_map(|(request, pending)| match pending.trial {
-                TrialState::Asked { until } => Some((*request, until, pending.meta.fingerprint)),
+                TrialState::Requested { until } => {
+                    Some((*request, until, pending.meta.fingerprint))
+                }
                 TrialState::None | TrialState::At(_) => None,
             })
             .collect();
         for (request, until, fingerprint) in held {
             let is_cleared = self.quarantined_for(now, fingerprint).is_none();
             if is_cleared {
-                self.release_held(request);
+                self.enqueue_cleared(request);
             } else if now >= until {
                 self.answer(request, NO_TRIAL, out);
             }
         }
     }
 
-    fn release_held(&mut self, request: RequestId) {
+    fn enqueue_cleared(&mut self, request: RequestId) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
         };
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Whether a request that was lost at this upstream was on trial there.
-    pub(super) fn was_tried(&self, loss: &Loss) -> bool {
-        self.tried.get(&loss.fingerprint) == Some(&loss.upstream)
+    /// Whether the lost request was on trial at that upstream.
+    pub(super) fn was_on_trial(&self, loss: &Loss) -> bool {
+        self.trial_upstreams.get(&loss.fingerprint) == Some(&loss.upstream)
     }
 }
--- a/shalehinge/tests/advertised_limit.rs
+++ b/shalehinge/tests/advertised_limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use shalehinge::core::advertised_limit::{AdvertisedLimit, RequestRate};
-use shalehinge::core::router::named::{LimitChange, LimitState};
+use shalehinge::core::router::limit_state::{LimitChange, LimitState};
 use shalehinge::core::types::Timestamp;
 
 fn rate(value: f64) -> RequestRate {
@@ -59,24 +59,24 @@
 fn a_limit_that_begins_changes_or_ends_is_reported_once_each() {
     let mut state = LimitState::default();
     let rate_limit = |value| AdvertisedLimit::Rate(rate(value));
-    assert_eq!(state.hear(at(1), at(0), AdvertisedLimit::None), None);
+    assert_eq!(state.on_answer(at(1), at(0), AdvertisedLimit::None), None);
     assert_eq!(
-        state.hear(at(2), at(1), rate_limit(1.4)),
+        state.on_answer(at(2), at(1), rate_limit(1.4)),
         Some(LimitChange::Begins(rate(1.4)))
     );
-    assert_eq!(state.hear(at(3), at(2), rate_limit(1.4)), None);
+    assert_eq!(state.on_answer(at(3), at(2), rate_limit(1.4)), None);
     assert_eq!(
-        state.hear(at(4), at(3), rate_limit(1.45)),
+        state.on_answer(at(4), at(3), rate_limit(1.45)),
         None,
         "small changes are not reported"
     );
     assert_eq!(
-        state.hear(at(5), at(4), rate_limit(0.7)),
+        state.on_answer(at(5), at(4), rate_limit(0.7)),
         Some(LimitChange::Changes(rate(0.7)))
     );
     assert_eq!(state.rate(), Some(rate(0.7)));
     assert_eq!(
-        state.hear(at(7), at(6), AdvertisedLimit::None),
+        state.on_answer(at(7), at(6), AdvertisedLimit::None),
         Some(LimitChange::Ends)
     );
     assert_eq!(state.rate(), None);
@@ -85,8 +85,8 @@
 #[test]
 fn a_response_to_a_request_sent_before_a_limit_does_not_end_it() {
     let mut state = LimitState::default();
-    state.hear(at(5), at(4), AdvertisedLimit::Rate(rate(1.0)));
-    assert_eq!(state.hear(at(6), at(4), AdvertisedLimit::None), None);
+    state.on_answer(at(5), at(4), AdvertisedLimit::Rate(rate(1.0)));
+    assert_eq!(state.on_answer(at(6), at(4), AdvertisedLimit::None), None);
     assert!(state.rate().is_some());
 }
 
@@ -94,8 +94,8 @@
 fn an_unreadable_value_keeps_the_limit_and_is_reported_once() {
     let mut state = LimitState::default();
     let unreadable = || AdvertisedLimit::Unreadable("x".to_owned());
-    state.hear(at(1), at(0), AdvertisedLimit::Rate(rate(1.0)));
-    assert!(state.hear(at(2), at(1), unreadable()).is_some());
-    assert_eq!(state.hear(at(3), at(2), unreadable()), None);
+    state.on_answer(at(1), at(0), AdvertisedLimit::Rate(rate(1.0)));
+    assert!(state.on_answer(at(2), at(1), unreadable()).is_some());
+    assert_eq!(state.on_answer(at(3), at(2), unreadable()), None);
     assert_eq!(state.rate(), Some(rate(1.0)));
 }
--- a/shalehinge/tests/listed_routing.rs
+++ b/shalehinge/tests/listed_routing.rs
@@ -107,7 +107,8 @@
             panic!("not a replica: {upstream:?}");
         };
         let mut out = Vec::new();
-        self.router.lose(self.now, replica, &mut self.rng, &mut out);
+        self.router
+            .on_replica_lost(self.now, replica, &mut self.rng, &mut out);
         self.handle_actions(out);
     }
 
@@ -186,9 +187,9 @@
                     );
                     self.handle_actions(out);
                 }
-                RouterAction::AskTrial(_)
-                | RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
+                RouterAction::RequestTrial(_)
+                | RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
                 | RouterAction::Log(_) => {}
             }
         }
@@ -322,7 +323,7 @@
 fn a_key_is_valid_only_while_the_configuration_is_confirmed() {
     let mut harness = Harness::with_replicas(1);
     let until = harness.now + Duration::from_secs(1);
-    harness.router.set_keys_until(Some(until));
+    harness.router.set_keys_valid_until(Some(until));
     harness.submit(1, stream_with_key());
     assert_eq!(
         harness.last(1).valid_until,
@@ -420,7 +421,7 @@
     harness
         .router
         .set_topology(Topology::from([(target(), specs)]));
-    harness.router.set_sharers(9);
+    harness.router.set_daemon_count(9);
     let without_attempt_limit = RequestMeta {
         max_attempts: None,
         ..stream()
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -225,7 +225,8 @@
         domain.open_groups(LARGE) == 1 && domain.open_groups(SMALL) == 2
     });
     assert!(
-        !domain.stored.value.is_in_use(&failed) || domain.stored.value.releasing.contains_key(&failed)
+        !domain.stored.value.is_in_use(&failed)
+            || domain.stored.value.releasing.contains_key(&failed)
     );
 }
 
--- a/shalehinge/tests/upstream_lives.rs
+++ b/shalehinge/tests/upstream_lives.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under its name is as one that was never seen.
+//! An engine that restarts under the same name is treated as a new upstream.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_instance_that_started_again_is_trusted_as_one_that_was_never_seen() {
+fn a_restarted_engine_is_treated_as_a_new_upstream() {
     let started = |start: u64| UpstreamSpec {
         started: Some(EngineStart(start)),
         ..listed()
@@ -44,17 +44,24 @@
     upstream.on_sent(now, Work::default());
     upstream.outlier.eject(now, &settings);
     upstream.update(started(1_000));
-    assert!(upstream.outlier.is_ejected(now), "the same life");
+    assert!(
+        upstream.outlier.is_ejected(now),
+        "the engine did not restart"
+    );
     upstream.update(started(900));
     assert!(
         !upstream.outlier.is_ejected(now),
-        "another one, by a clock that jumped back"
+        "the engine restarted, with a clock that was set back"
+    );
+    assert_eq!(
+        upstream.in_flight(),
+        1,
+        "requests in flight must stay counted"
     );
-    assert_eq!(upstream.in_flight(), 1, "what is under way still ends");
 }
 
 #[test]
-fn a_cooldown_or_leaving_ends_with_the_life_of_the_engine_that_asked_for_it() {
+fn a_cooldown_or_leaving_mark_ends_when_the_engine_restarts() {
     let started = |start: u64| UpstreamSpec {
         started: Some(EngineStart(start)),
         ..listed()
