--- a/shalehinge/src/core/controller/calls.rs
+++ b/shalehinge/src/core/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and looks at them, as they follow from the stored assignment.
+//! Orders to engines and probes of engines, as they follow from the stored assignment.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::settings::control::Assembly;
 
 impl Controller {
-    /// Orders and probes that follow from the stored assignment.
+    /// Returns the orders and probes that are due for the stored assignment.
     pub(super) fn calls(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
         if self.settings.assembly == Assembly::Orders {
             return self.ordered_calls(now, epoch);
@@ -32,20 +32,21 @@
         actions
     }
 
-    /// Whether a host may be called now for this purpose; notes the call.
-    fn is_due(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
-        let due = self
+    /// Whether a host may be called now for this purpose. Records the call if so.
+    fn try_call(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
+        let is_due = self
             .next_call_at
             .get(host)
             .is_none_or(|(last, at)| *last != purpose || now >= *at);
-        if due {
+        if is_due {
             let next = now + self.call_interval(now, purpose);
             self.next_call_at.insert(host.clone(), (purpose, next));
         }
-        due
+        is_due
     }
 
-    /// A group that looks incomplete is looked at as often as one that changes.
+    /// Interval between calls for a purpose. A group that appears incomplete is probed as often
+    /// as a changing group gets orders.
     fn call_interval(&self, now: Timestamp, purpose: CallPurpose) -> Duration {
         let CallPurpose::Probe(group) = purpose else {
             return self.settings.order_interval;
@@ -89,7 +90,7 @@
     ) {
         let members: Vec<Address> = group.members.iter().map(|m| m.address).collect();
         for (rank, member) in group.members.iter().enumerate() {
-            if !self.is_due(now, &member.host, CallPurpose::Load(number)) {
+            if !self.try_call(now, &member.host, CallPurpose::Load(number)) {
                 continue;
             }
             let command = Command::Load(LoadCommand {
@@ -113,15 +114,15 @@
         let Some(rank_zero) = group.members.first() else {
             return;
         };
-        if self.is_due(now, &rank_zero.host, CallPurpose::Probe(number)) {
+        if self.try_call(now, &rank_zero.host, CallPurpose::Probe(number)) {
             actions.push(ControllerAction::Probe {
                 group: number,
-                rank_zero: rank_zero.clone(),
+                member: rank_zero.clone(),
             });
         }
     }
 
-    /// Rank 0 finishes its requests first; only then may the others leave.
+    /// Rank 0 finishes its requests first; only then are the other members released.
     fn order_retirement(
         &mut self,
         now: Timestamp,
@@ -138,7 +139,7 @@
             return;
         };
         if !self.has_left(&rank_zero.host, number) {
-            if self.is_due(now, &rank_zero.host, CallPurpose::Release(number)) {
+            if self.try_call(now, &rank_zero.host, CallPurpose::Release(number)) {
                 let command = Command::Release { drain: true };
                 actions.push(self.order(epoch, number, rank_zero, command));
             }
@@ -146,14 +147,14 @@
         }
         for member in others {
             let purpose = CallPurpose::Release(number);
-            if !self.has_left(&member.host, number) && self.is_due(now, &member.host, purpose) {
+            if !self.has_left(&member.host, number) && self.try_call(now, &member.host, purpose) {
                 let command = Command::Release { drain: false };
                 actions.push(self.order(epoch, number, member, command));
             }
         }
     }
 
-    /// Hosts of dissolved groups are told to leave until they show that they have.
+    /// Orders hosts of dissolved groups to leave, until they confirm that they have left.
     fn order_releases(&mut self, now: Timestamp, epoch: Epoch) -> Vec<ControllerAction> {
         let Some(stored) = &self.stored else {
             return Vec::new();
@@ -169,7 +170,7 @@
             let Some(address) = self.addresses.get(&host).copied() else {
                 continue;
             };
-            if self.is_due(now, &host, CallPurpose::Release(number)) {
+            if self.try_call(now, &host, CallPurpose::Release(number)) {
                 let member = Member { host, address };
                 let command = Command::Release { drain: false };
                 actions.push(self.order(epoch, number, &member, command));
--- a/shalehinge/src/core/daemon/claiming.rs
+++ b/shalehinge/src/core/daemon/claiming.rs
@@ -2,7 +2,7 @@
 
 use super::{CallPurpose, Daemon, log, outcome_of_refused_claim};
 use crate::core::claims::{ClaimResult, ClaimStep};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::objects::{ClaimPartition, Object, ObjectKey, Versioned};
 use crate::core::platform::{Freshness, NoAnswer, PlatformCall, PlatformReply, PlatformResult};
 use crate::core::router::request::Outcome;
@@ -83,7 +83,7 @@
                 | PlatformReply::HistoryGone(_),
             )
             | Err(NoAnswer) => {
-                self.claims.on_unclear(partition);
+                self.claims.on_call_failed(partition);
                 Vec::new()
             }
         };
@@ -106,14 +106,14 @@
             if result == ClaimResult::Granted {
                 let wall_seconds = self.identity.wall_seconds + now.as_duration().as_secs();
                 let (key, claimant) = (claimed.key, claimed.claimant);
-                self.claims.remember(now, wall_seconds, key, claimant);
+                self.claims.record_granted(now, wall_seconds, key, claimant);
                 self.submit(now, request, meta, out);
                 continue;
             }
             self.claimed_requests.remove(&request);
             let outcome = outcome_of_refused_claim(result);
             let text = format!("request {} not run, key not granted: {result:?}", request.0);
-            log(out, Part::Claim, text);
+            log(out, Component::Claim, text);
             out.push(Action::Answer { request, outcome });
         }
     }
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 
 use super::{CallPurpose, Daemon, NOTICE_FANOUT, WATCH_DUTY, WATCH_RETRY_DELAY, log};
-use crate::core::event::{Action, LimitsNotice, Notice, Part, QuarantineReport};
+use crate::core::event::{Action, Component, LimitsNotice, Notice, QuarantineReport};
 use crate::core::feed::{Confirmation, Feed};
-use crate::core::fleet_state::{Applied, ObjectUpdate};
+use crate::core::fleet_state::{ApplyResult, ObjectUpdate};
 use crate::core::objects::{Object, ObjectKey};
 use crate::core::platform::{Freshness, PlatformCall, PlatformReply, PlatformResult, Scope};
 use crate::core::router::topology;
@@ -159,10 +159,10 @@
             Scope::Shared | Scope::Configuration => Duration::ZERO,
         };
         feed.on_answer(now, result, spacing, pause, self.confirmation);
-        let is_list_known = scope != Scope::Hosts || self.state.whole_hosts().is_some();
+        let is_list_known = scope != Scope::Hosts || self.state.full_hosts().is_some();
         if feed.has_listed() && !is_list_known {
             // The list was older than the one known from peers.
-            feed.list_again(now);
+            feed.relist(now);
         }
         if matches!(result, Ok(PlatformReply::Objects { .. })) {
             self.rewrite_lost_fleet(now, out);
@@ -186,7 +186,7 @@
             object: Box::new(Object::Fleet(fleet.value.clone())),
         };
         let text = format!("platform lost Fleet version {version}; rewriting it");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
         self.call_platform(CallPurpose::RewriteFleet, request, out);
     }
 
@@ -228,7 +228,7 @@
     /// configuration keeps serving.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
         let within = self.settings.learning.served_when_superseded();
-        within.is_some_and(|within| self.superseded.is_known_for(now, within))
+        within.is_some_and(|within| self.superseded.is_outdated_for(now, within))
     }
 
     /// Applies objects that are newer than the known ones, and notifies peers of them.
@@ -249,24 +249,25 @@
             if self.state.hosts_version().era != previous_hosts_era {
                 self.keep_earlier_hosts(now, hosts_answered_at);
             }
-            if let Some(version) = fleet_version.filter(|_| applied == Applied::Nothing) {
+            if let Some(version) = fleet_version.filter(|_| applied == ApplyResult::Unchanged) {
                 self.log_ignored_version(version, out);
             }
-            if applied == Applied::All {
+            if applied == ApplyResult::Changed {
                 is_changed = true;
                 // Daemons that relay the host list pull it at intervals and need no notice.
                 needs_notice |= key != ObjectKey::Hosts || !self.settings.learning.relays;
                 let text = format!("{key:?} version {version} is in force");
-                log(out, Part::Config, text);
+                log(out, Component::Config, text);
             }
         }
         if is_changed {
-            self.superseded.take(self.state.fleet_version());
+            self.superseded.on_accepted(self.state.fleet_version());
             self.rebuild_routes(now, out);
             self.rebuild_topology();
         }
         if needs_notice {
-            self.membership.set_fleet(self.state.fleet_version());
+            self.membership
+                .set_fleet_version(self.state.fleet_version());
             self.notify_random_peers(now, out);
         }
     }
@@ -278,7 +279,7 @@
             return;
         }
         let text = format!("ignored Fleet version {version}: {in_force} is in force");
-        log(out, Part::Config, text);
+        log(out, Component::Config, text);
     }
 
     /// Rebuilds the route table for a new configuration. Queued requests whose key is no longer
@@ -311,7 +312,7 @@
     pub(super) fn notify_random_peers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let peers = self
             .membership
-            .some_peers(now, NOTICE_FANOUT, &mut self.rng);
+            .random_peers(now, NOTICE_FANOUT, &mut self.rng);
         self.notify(peers, Vec::new(), out);
     }
 
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{CallPurpose, DEMAND_INTERVAL, Daemon, LEASE_CANDIDATES, log};
-use crate::core::controller::{ControllerAction, Listing, Origin};
-use crate::core::event::{Action, Part, StatusPurpose};
+use crate::core::controller::{ControllerAction, HostListState, Origin};
+use crate::core::event::{Action, Component, StatusPurpose};
 use crate::core::fleet_state::ObjectUpdate;
 use crate::core::lease::LeaseStep;
 use crate::core::objects::{Assignment, Object, ObjectKey, Versioned};
@@ -53,13 +53,13 @@
             return;
         }
         self.is_lease_holder = held.is_some();
-        self.membership.set_control(self.is_lease_holder);
+        self.membership.set_holds_control(self.is_lease_holder);
         let domain = &self.identity.failure_domain;
         let text = match held {
             Some(epoch) => format!("holds {domain} in epoch {}", epoch.0),
             None => format!("no longer holds {domain}"),
         };
-        log(out, Part::Lease, text);
+        log(out, Component::Lease, text);
     }
 
     pub(super) fn on_lease_reply(
@@ -75,7 +75,7 @@
             Ok(PlatformReply::Written(version)) => self.lease.on_written(now, version),
             Ok(PlatformReply::Conflict(_)) => self.lease.on_conflict(now),
             Ok(PlatformReply::Objects { .. } | PlatformReply::HistoryGone(_)) | Err(NoAnswer) => {
-                self.lease.on_unclear();
+                self.lease.on_unknown_outcome();
             }
         }
         self.update_lease_holder(now, out);
@@ -102,24 +102,26 @@
         }
         self.next_demand_update_at = now + DEMAND_INTERVAL;
         let daemons = self.membership.fleet_size(now);
-        let work = self.demand.of_fleet(now, daemons);
-        for text in self.controller.note_work(&self.state, &work) {
-            log(out, Part::Place, text);
+        let work = self.demand.fleet_work(now, daemons);
+        for text in self.controller.record_work(&self.state, &work) {
+            log(out, Component::Place, text);
         }
     }
 
-    fn controller_listing(&self, now: Timestamp) -> Listing {
+    fn controller_listing(&self, now: Timestamp) -> HostListState {
         // Only the lease holder needs the number of failure domains.
-        let hosts = self.state.whole_hosts().filter(|_| self.is_lease_holder);
+        let hosts = self.state.full_hosts().filter(|_| self.is_lease_holder);
         let domains: BTreeSet<&FailureDomain> = hosts
             .iter()
             .flat_map(|list| list.value.hosts.values())
             .map(|record| &record.failure_domain)
             .collect();
         let is_early = now.as_duration() < self.settings.control.free_loads_within;
-        Listing {
+        HostListState {
             as_of: self.hosts_as_of(),
-            loads_are_free: self.identity.is_first_start && is_early && !self.has_received_request,
+            loads_are_unlimited: self.identity.is_first_start
+                && is_early
+                && !self.has_received_request,
             domains: domains.len(),
         }
     }
@@ -155,7 +157,7 @@
                     "sends order to {host}, group {}: {}",
                     order.group.0, order.command
                 );
-                log(out, Part::Place, text);
+                log(out, Component::Place, text);
                 out.push(Action::Order {
                     host,
                     address,
@@ -163,13 +165,13 @@
                     valid_until: self.lease.valid_until(),
                 });
             }
-            ControllerAction::Probe { group, rank_zero } => out.push(Action::AskStatus {
+            ControllerAction::Probe { group, member } => out.push(Action::RequestStatus {
                 purpose: StatusPurpose::Probe(group),
-                host: Some(rank_zero.host),
-                address: rank_zero.address,
+                host: Some(member.host),
+                address: member.address,
             }),
-            ControllerAction::AskMoving => self.pull_last_outputs(now, out),
-            ControllerAction::TellLost(number) => {
+            ControllerAction::AskRecentOutput => self.pull_last_outputs(now, out),
+            ControllerAction::NotifyLost(number) => {
                 let failure_domain = self.identity.failure_domain.clone();
                 let replica = ReplicaId {
                     failure_domain,
@@ -177,7 +179,7 @@
                 };
                 self.broadcast_lost_replica(now, replica, out);
             }
-            ControllerAction::Log(text) => log(out, Part::Place, text),
+            ControllerAction::Log(text) => log(out, Component::Place, text),
         }
     }
 
@@ -190,7 +192,7 @@
         match result {
             Ok(PlatformReply::Object(object)) => match (*object).into_assignment() {
                 Some(stored) => self.on_assignment_read(now, stored, out),
-                None => self.controller.on_unclear(),
+                None => self.controller.on_call_failed(),
             },
             Ok(PlatformReply::Missing(era)) => {
                 let absent = Versioned {
@@ -210,7 +212,7 @@
                 | PlatformReply::HistoryGone(_),
             )
             | Err(NoAnswer) => {
-                self.controller.on_unclear();
+                self.controller.on_call_failed();
             }
         }
     }
@@ -237,7 +239,7 @@
             value,
         };
         let origin = if is_copied {
-            Origin::Copy
+            Origin::Restored
         } else {
             Origin::Current
         };
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -1,7 +1,7 @@
 //! Plan and confirm calls of operators.
 
 use super::{CallPurpose, Daemon, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::operator::{OperatorCall, OperatorCallId, OperatorStep};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::Timestamp;
@@ -23,7 +23,7 @@
                 )
             }
         };
-        log(out, Part::Operator, what);
+        log(out, Component::Operator, what);
         let step = self.operators.begin(now, id, call);
         self.handle_operator_step(now, id, Some(step), Err(NoAnswer), out);
     }
@@ -44,7 +44,9 @@
                 // Reads the written change back at once, so that it is in force here without
                 // delay.
                 if let Ok(PlatformReply::Written(_)) = result {
-                    self.feeds.iter_mut().for_each(|feed| feed.hurry(now));
+                    self.feeds
+                        .iter_mut()
+                        .for_each(|feed| feed.schedule_now(now));
                 }
                 out.push(Action::AnswerOperator {
                     call_id: id,
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -12,14 +12,15 @@
 };
 use crate::core::demand::WorkReport;
 use crate::core::event::{
-    Action, LastOutput, Notice, Pull, PullId, PullReply, PullTopic, QuarantineReport, Reached,
+    Action, LastOutput, Notice, Pull, PullId, PullReply, PullTopic, QuarantineReport,
+    ReachedRevision,
 };
 use crate::core::feed::{Confirmation, Feed};
 use crate::core::fleet_state::{ObjectUpdate, VersionDigest};
 use crate::core::membership::Gossip;
+use crate::core::object_fetch::Locality;
 use crate::core::platform::Scope;
 use crate::core::types::{Address, FailureDomain, ReplicaId, Timestamp, Version};
-use crate::core::whole_fetch::Distance;
 
 /// The time `millis` milliseconds before `at`, or `None` if that is not after the start of this
 /// daemon.
@@ -97,7 +98,7 @@
         match topic {
             PullTopic::All => self.membership.gossip(now, asked, &mut self.rng),
             PullTopic::Objects | PullTopic::Moving | PullTopic::WholeObjects => {
-                self.membership.greeting()
+                self.membership.own_gossip()
             }
         }
     }
@@ -122,7 +123,7 @@
         self.feeds
             .iter()
             .filter(|feed| feed.scope() == Scope::Hosts)
-            .filter_map(Feed::heard_at)
+            .filter_map(Feed::last_answer_at)
             .any(|answered_at| now.since(answered_at) < FRESH)
     }
 
@@ -180,7 +181,7 @@
         self.record_last_outputs(now, own_outputs);
         let peers = self
             .membership
-            .some_peers(now, LAST_OUTPUT_PEERS, &mut self.rng);
+            .random_peers(now, LAST_OUTPUT_PEERS, &mut self.rng);
         for to in peers {
             let pull = self.pull_for_topic(now, PullTopic::Moving);
             out.push(Action::Pull { to, pull });
@@ -207,7 +208,7 @@
     fn record_last_outputs(&mut self, asked_at: Timestamp, moving: Vec<LastOutput>) {
         for LastOutput { replica, ms_ago } in moving {
             if let Some(at) = time_before(asked_at, ms_ago) {
-                self.controller.note_moving(at, replica.number);
+                self.controller.record_output(at, replica.number);
             }
         }
     }
@@ -235,7 +236,7 @@
             updates: self.updates_for(pull.topic, &pull.digest),
             confirmed_ms_ago: self.confirmed_at().map(|at| now.millis_since(at)),
             hosts_ms_ago: hosts_answered_at.map(|at| now.millis_since(at)),
-            reached: self.confirmation.map(|confirmation| Reached {
+            reached: self.confirmation.map(|confirmation| ReachedRevision {
                 revision: confirmation.revision,
                 ms_ago: now.millis_since(confirmation.at),
             }),
@@ -260,7 +261,7 @@
         match topic {
             PullTopic::All | PullTopic::Objects => hosts.into_iter().collect(),
             PullTopic::WholeObjects => {
-                let mut updates = self.state.whole_objects_after(known);
+                let mut updates = self.state.full_objects_after(known);
                 updates.extend(hosts);
                 updates
             }
@@ -293,22 +294,22 @@
     /// Records the versions that a peer knows, and the peer as a source of newer objects.
     fn record_peer_versions(&mut self, now: Timestamp, from: Address, digest: &VersionDigest) {
         let own_version = self.state.fleet_version();
-        self.superseded.hear(now, digest.fleet, own_version);
+        self.superseded.on_reported(now, digest.fleet, own_version);
         if self.state.is_behind(digest) {
             let distance = self.distance_of(from);
-            self.whole_fetch.hear(now, from, distance);
+            self.whole_fetch.note_newer_version(now, from, distance);
         }
     }
 
     /// The distance of a peer. An unknown peer counts as near, and so does every peer while this
     /// daemon has no configuration to serve with.
-    fn distance_of(&self, peer: Address) -> Distance {
+    fn distance_of(&self, peer: Address) -> Locality {
         let domain = self.membership.domain_of(peer);
         let is_far = domain.is_some_and(|domain| *domain != self.identity.failure_domain);
         if is_far && self.state.fleet().is_some() {
-            Distance::Far
+            Locality::Remote
         } else {
-            Distance::Near
+            Locality::Local
         }
     }
 
@@ -386,7 +387,7 @@
     ) {
         let peers = self
             .membership
-            .alive(now)
+            .live_peers(now)
             .map(|peer| peer.address)
             .collect();
         self.notify(peers, vec![replica.clone()], out);
@@ -395,7 +396,8 @@
 
     fn mark_replica_lost(&mut self, now: Timestamp, replica: &ReplicaId, out: &mut Vec<Action>) {
         let mut actions = Vec::new();
-        self.router.lose(now, replica, &mut self.rng, &mut actions);
+        self.router
+            .on_replica_lost(now, replica, &mut self.rng, &mut actions);
         self.handle_router_actions(now, actions, out);
     }
 
--- a/shalehinge/src/core/daemon/platform_calls.rs
+++ b/shalehinge/src/core/daemon/platform_calls.rs
@@ -17,7 +17,7 @@
     ) {
         let call = CallId(self.next_call);
         self.next_call += 1;
-        let named_era = request.rests_on();
+        let named_era = request.base_era();
         self.calls.insert(call, OpenCall { purpose, named_era });
         out.push(Action::Platform { call, request });
     }
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -14,7 +14,7 @@
     Action, CompletionReport, LossReport, Notice, QuarantineReport, QuarantinedReport,
 };
 use crate::core::membership::Owner;
-use crate::core::router::quarantine::{Completion, Evidence, Loss, QuarantineNews, Quarantined};
+use crate::core::router::quarantine::{Completion, Evidence, Loss, QuarantineUpdate, Quarantined};
 use crate::core::router::request::UpstreamId;
 use crate::core::trials::{TrialGrant, TrialRequest};
 use crate::core::types::{Address, FailureDomain, Timestamp};
@@ -40,7 +40,7 @@
     }
 }
 
-fn report_from_news(now: Timestamp, news: QuarantineNews) -> QuarantineReport {
+fn report_from_news(now: Timestamp, news: QuarantineUpdate) -> QuarantineReport {
     let losses = news.losses.into_iter().map(|loss| LossReport {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -63,7 +63,7 @@
 
 /// Converts the ages in a report to times of this daemon. Times before its start are set to the
 /// start.
-fn news_from_report(now: Timestamp, report: QuarantineReport) -> QuarantineNews {
+fn news_from_report(now: Timestamp, report: QuarantineReport) -> QuarantineUpdate {
     let losses = report.losses.into_iter().map(|loss| Loss {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -83,7 +83,7 @@
         fingerprint: completion.fingerprint,
         at: saturating_time_before(now, completion.ms_ago),
     });
-    QuarantineNews {
+    QuarantineUpdate {
         losses: losses.collect(),
         quarantined: quarantined.collect(),
         completions: completions.collect(),
@@ -93,24 +93,24 @@
 impl Daemon {
     /// Sends new losses to the daemons that count them, and all other new findings to all daemons.
     pub(super) fn send_quarantine_news(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let news = self.router.take_quarantine_news(now);
+        let news = self.router.take_quarantine_update(now);
         if news.is_empty() {
             return;
         }
         self.end_trials(&news);
         let losses = news.losses.clone();
-        let for_all_peers = QuarantineNews {
+        let for_all_peers = QuarantineUpdate {
             losses: Vec::new(),
             ..news
         };
         if !for_all_peers.is_empty() {
-            let peers = self.membership.alive(now).map(|peer| peer.address);
+            let peers = self.membership.live_peers(now).map(|peer| peer.address);
             self.send_quarantine(peers.collect(), report_from_news(now, for_all_peers), out);
         }
         if !losses.is_empty() {
-            let for_counters = QuarantineNews {
+            let for_counters = QuarantineUpdate {
                 losses,
-                ..QuarantineNews::default()
+                ..QuarantineUpdate::default()
             };
             self.send_quarantine(
                 self.loss_counters(now),
@@ -123,7 +123,7 @@
     /// The daemons that count lost attempts, in all failure domains, without this one.
     fn loss_counters(&self, now: Timestamp) -> Vec<Address> {
         let membership = &self.membership;
-        let peers = membership.alive(now).map(|peer| &peer.failure_domain);
+        let peers = membership.live_peers(now).map(|peer| &peer.failure_domain);
         let domains: BTreeSet<&FailureDomain> =
             peers.chain([&self.identity.failure_domain]).collect();
         domains
@@ -161,8 +161,8 @@
         out: &mut Vec<Action>,
     ) {
         match self.membership.fleet_owner(now, &request.target) {
-            Owner::Me => {
-                let grant = self.trials.ask(now, &request);
+            Owner::ThisDaemon => {
+                let grant = self.trials.try_grant(now, &request);
                 self.own_trial_grants.extend(grant);
             }
             Owner::Peer(owner) => {
@@ -185,10 +185,10 @@
         request: &TrialRequest,
         out: &mut Vec<Action>,
     ) {
-        if self.membership.fleet_owner(now, &request.target) != Owner::Me {
+        if self.membership.fleet_owner(now, &request.target) != Owner::ThisDaemon {
             return;
         }
-        let Some(grant) = self.trials.ask(now, request) else {
+        let Some(grant) = self.trials.try_grant(now, request) else {
             return;
         };
         let report = QuarantineReport {
@@ -218,7 +218,7 @@
 
     /// Ends the trials of requests that are proven to crash upstreams or were cleared by
     /// completing.
-    fn end_trials(&mut self, news: &QuarantineNews) {
+    fn end_trials(&mut self, news: &QuarantineUpdate) {
         let proven = news.quarantined.iter();
         let proven = proven.filter(|entry| entry.evidence == Evidence::Proven);
         let ended = proven.map(|entry| entry.fingerprint);
@@ -267,7 +267,7 @@
         let news = news_from_report(reported_at, report);
         self.end_trials(&news);
         let mut actions = Vec::new();
-        self.router.learn_quarantine(news, &mut actions);
+        self.router.apply_quarantine_update(news, &mut actions);
         self.handle_router_actions(now, actions, out);
     }
 
--- a/shalehinge/src/core/daemon/requests.rs
+++ b/shalehinge/src/core/daemon/requests.rs
@@ -4,7 +4,7 @@
 
 use super::{ClaimedRequest, Daemon, log, not_run};
 use crate::core::engine::EngineStatus;
-use crate::core::event::{Action, Part, StatusPurpose};
+use crate::core::event::{Action, Component, StatusPurpose};
 use crate::core::permits::PermitRequest;
 use crate::core::router::RouterAction;
 use crate::core::router::request::{AttemptEnd, NotRunReason, RequestMeta, Target, UpstreamId};
@@ -152,10 +152,10 @@
 
     pub(super) fn tick_router(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let sharers = self.membership.fleet_size(now);
-        self.router.set_sharers(sharers);
-        self.router.set_keys_until(self.keys_valid_until());
+        self.router.set_daemon_count(sharers);
+        self.router.set_keys_valid_until(self.keys_valid_until());
         for spec in self.router.reports_wanted(now) {
-            out.push(Action::AskStatus {
+            out.push(Action::RequestStatus {
                 purpose: StatusPurpose::Report(spec.id),
                 host: None,
                 address: spec.address,
@@ -175,19 +175,19 @@
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => out.push(Action::Send(attempt)),
-                RouterAction::Abandon(attempt) => out.push(Action::Abandon(attempt)),
+                RouterAction::Abandon(attempt) => out.push(Action::CancelAttempt(attempt)),
                 RouterAction::CheckUpstream { upstream, address } => {
                     out.push(Action::CheckUpstream { upstream, address });
                 }
-                RouterAction::TellLimit(report) => self.report_limit(now, report, out),
-                RouterAction::AskPermits { known, wanted } => {
+                RouterAction::ReportLimit(report) => self.report_limit(now, report, out),
+                RouterAction::RequestPermits { known, wanted } => {
                     self.request_permits(now, PermitRequest { known, wanted }, out);
                 }
-                RouterAction::AskTrial(request) => self.request_trial(now, request, out),
-                RouterAction::Log(text) => log(out, Part::Route, text),
+                RouterAction::RequestTrial(request) => self.request_trial(now, request, out),
+                RouterAction::Log(text) => log(out, Component::Route, text),
                 RouterAction::Answer { request, outcome } => {
                     let text = format!("request {} ends: {outcome:?}", request.0);
-                    log(out, Part::Route, text);
+                    log(out, Component::Route, text);
                     self.settle_claim(request, &outcome);
                     out.push(Action::Answer { request, outcome });
                 }
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::{CallPurpose, Daemon, log};
-use crate::core::event::{Action, Part};
+use crate::core::event::{Action, Component};
 use crate::core::platform::{NoAnswer, PlatformReply, PlatformResult};
 use crate::core::types::{StoreEra, Timestamp, Version};
 
@@ -95,7 +95,7 @@
         }
         let known = self.era_state.current.unwrap_or_default();
         let text = format!("ignored a reply of era {era}: the platform is in era {known}");
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
     }
 
     /// Records the store's era as reported by the platform, with the revision reached in it, or by
@@ -133,7 +133,7 @@
                 ""
             },
         );
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
         self.update_lease_holder(now, out);
     }
 
@@ -145,7 +145,7 @@
         }
         let is_recent = answered_at.is_some_and(|at| now.since(at) < EARLIER_LIST_MAX_AGE);
         if !is_recent {
-            self.state.forget_earlier_hosts();
+            self.state.discard_earlier_hosts();
             return;
         }
         let heartbeat = self.settings.control.host_heartbeat;
@@ -161,9 +161,9 @@
             return;
         }
         self.era_state.earlier_hosts_until = None;
-        self.state.forget_earlier_hosts();
+        self.state.discard_earlier_hosts();
         self.rebuild_topology();
         let text = "dropped hosts of the earlier era; the platform's host list applies".to_owned();
-        log(out, Part::Platform, text);
+        log(out, Component::Platform, text);
     }
 }
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -1,13 +1,14 @@
-//! Which daemons are alive, by gossip of heartbeat counters.
+//! Membership of daemons, by gossip of heartbeat counters.
 //!
-//! Each daemon counts up its own heartbeat and pulls news of the others from a peer a
-//! turn. A member whose counter has not advanced for long is taken for dead. A message
-//! names a few members whole, and the counters of many in a few bytes each: of the sender's
-//! failure domain all, as its duties are divided by them, of the others a sample, so that
-//! messages grow with the failure domain, not with the fleet.
+//! Each daemon increments its own heartbeat counter and pulls updates on the others from one peer
+//! per round. A member whose counter has not advanced for a time is considered dead. A message
+//! contains a few heartbeats in full and the counters of many members in a few bytes each: those
+//! of the sender's failure domain completely, as duties within a domain are divided by them, and
+//! a sample of the others. The size of a message thus grows with the failure domain and not with
+//! the fleet.
 //!
-//! Used only to divide work; leases and conditional updates keep it safe when two
-//! daemons see different members.
+//! Membership is only used to divide work. Leases and conditional updates keep the result safe
+//! when two daemons see different members.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hash;
@@ -19,41 +20,41 @@
 use super::types::{Address, DaemonId, FailureDomain, FleetVersion, Incarnation, Timestamp};
 use crate::settings::membership::MembershipSettings;
 
-/// Counters of other failure domains in one message: so many that most members of a fleet of
-/// hundreds are seen alive, while messages stay small.
-const REMOTE_COUNTERS: usize = 32;
-/// Members in a reply that the asker does not know, or not as they are now. A
-/// daemon that starts knows a domain of 60 after a few pulls.
-const NEWS: usize = 16;
+/// Number of counters of other failure domains in one message: enough that most members of a
+/// fleet of hundreds are seen alive, while messages stay small.
+const REMOTE_SAMPLE_SIZE: usize = 32;
+/// Maximum number of members sent in full in a reply because the requester does not know them or
+/// their latest revision. A daemon that starts knows a domain of 60 after a few pulls.
+const MAX_FULL_IN_REPLY: usize = 16;
 
-/// What a daemon tells of itself, or of another.
+/// What daemons exchange about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where its peers reach it.
+    /// Address for requests of peers.
     pub address: Address,
-    /// Where it is.
+    /// Failure domain of the daemon.
     pub failure_domain: FailureDomain,
-    /// Which run of it.
+    /// Identifies the run of the daemon; a later run has a higher one.
     pub incarnation: Incarnation,
-    /// Counts up while it lives.
+    /// Increases each round while the daemon runs.
     pub counter: u64,
-    /// Counts up with each change of what follows.
+    /// Increases with each change of the members below.
     #[serde(default)]
     pub revision: u64,
-    /// It is stopping and takes no more duties.
+    /// Whether the daemon is stopping and takes no more duties.
     pub leaving: bool,
-    /// Version of the configuration that it has in force.
+    /// Version of the configuration in force at the daemon.
     pub fleet: FleetVersion,
-    /// It holds control of its failure domain.
+    /// Whether the daemon holds the control lease of its failure domain.
     #[serde(default)]
     pub holds_control: bool,
 }
 
 impl Heartbeat {
     fn run(&self) -> RunId {
-        RunId(hash::weight(&self.daemon, &self.incarnation.0) as u32)
+        RunId(hash::rendezvous_weight(&self.daemon, &self.incarnation.0) as u32)
     }
 
     fn brief(&self) -> BriefHeartbeat {
@@ -65,16 +66,16 @@
     }
 }
 
-/// A run of a daemon, in four bytes. Two runs may share one, so that a dead daemon seems
-/// alive: that costs calls without an answer.
+/// Hash of a daemon and its incarnation in four bytes. On a collision a dead daemon seems alive,
+/// which costs calls without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RunId(pub u32);
 
-/// A heartbeat of a member that both sides know already.
+/// Short form of a heartbeat, for members that the receiver already knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BriefHeartbeat {
-    /// Which run of which daemon.
+    /// The daemon and its run.
     pub run: RunId,
     /// See [`Heartbeat::counter`].
     pub counter: u64,
@@ -82,37 +83,40 @@
     pub revision: u64,
 }
 
-/// What one message tells of the members.
+/// The membership part of one message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender.
+    /// Heartbeat of the sender.
     pub sender: Heartbeat,
-    /// Other members, whole.
+    /// Full heartbeats of other members.
     pub members: Vec<Heartbeat>,
-    /// More members in brief, all of the sender's failure domain among them.
+    /// Short heartbeats, among them those of all members of the sender's failure domain.
     pub brief: Vec<BriefHeartbeat>,
 }
 
-/// Who decides on something.
+/// The daemon that decides on a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     /// This daemon.
-    Me,
-    /// The peer that is reached there.
+    ThisDaemon,
+    /// The peer at this address.
     Peer(Address),
 }
 
 #[derive(Clone, Debug)]
+/// A known member.
 struct MemberState {
     heartbeat: Heartbeat,
-    advanced_at: Timestamp,
+    /// When the counter last advanced.
+    last_advanced_at: Timestamp,
 }
 
-/// The members that this daemon knows of.
+/// The members known to this daemon.
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: MembershipSettings,
-    me: Heartbeat,
+    own_heartbeat: Heartbeat,
+    /// Configured addresses to pull from besides known members.
     seeds: Vec<Address>,
     members: BTreeMap<DaemonId, MemberState>,
     runs: BTreeMap<RunId, DaemonId>,
@@ -120,15 +124,20 @@
 }
 
 impl Membership {
-    /// Knows only itself and the addresses to ask first.
-    pub fn new(settings: MembershipSettings, me: Heartbeat, seeds: Vec<Address>) -> Self {
+    /// Creates a membership that knows this daemon only; `seeds` are the addresses to pull from
+    /// first.
+    pub fn new(
+        settings: MembershipSettings,
+        own_heartbeat: Heartbeat,
+        seeds: Vec<Address>,
+    ) -> Self {
         let seeds = seeds
             .into_iter()
-            .filter(|seed| *seed != me.address)
+            .filter(|seed| *seed != own_heartbeat.address)
             .collect();
         Self {
             settings,
-            me,
+            own_heartbeat,
             seeds,
             members: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -136,65 +145,70 @@
         }
     }
 
-    /// What this daemon tells of itself.
-    pub fn me(&self) -> &Heartbeat {
-        &self.me
+    /// The heartbeat of this daemon.
+    pub fn own_heartbeat(&self) -> &Heartbeat {
+        &self.own_heartbeat
     }
 
-    /// Tells peers which configuration is in force here.
-    pub fn set_fleet(&mut self, version: FleetVersion) {
-        self.me.fleet = version;
-        self.me.revision += 1;
+    /// Sets the configuration version that peers see.
+    pub fn set_fleet_version(&mut self, version: FleetVersion) {
+        self.own_heartbeat.fleet = version;
+        self.own_heartbeat.revision += 1;
     }
 
-    /// Tells peers whether this daemon holds control of its failure domain.
-    pub fn set_control(&mut self, holds_control: bool) {
-        self.me.holds_control = holds_control;
-        self.me.revision += 1;
+    /// Sets whether peers see this daemon as the holder of control of its failure domain.
+    pub fn set_holds_control(&mut self, holds_control: bool) {
+        self.own_heartbeat.holds_control = holds_control;
+        self.own_heartbeat.revision += 1;
     }
 
-    /// Where those are reached that hold control of a failure domain, by what they told.
+    /// Addresses of the live members that report to hold control of a failure domain.
     pub fn holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .filter(|peer| peer.holds_control && peer.failure_domain == *domain)
             .map(|peer| peer.address)
             .collect()
     }
 
-    /// Tells peers that this daemon is stopping.
-    pub fn leave(&mut self) {
-        self.me.leaving = true;
-        self.me.revision += 1;
+    /// Marks this daemon as stopping.
+    pub fn mark_leaving(&mut self) {
+        self.own_heartbeat.leaving = true;
+        self.own_heartbeat.revision += 1;
     }
 
-    /// Whom to pull from now, if it is time.
+    /// The peer to pull from, if a pull is due. Also increments the own counter and removes
+    /// members that are dead for long.
     pub fn pull_target(&mut self, now: Timestamp, rng: &mut impl rand::Rng) -> Option<Address> {
         if now < self.next_pull_at {
             return None;
         }
         self.next_pull_at = now + self.settings.interval;
-        self.me.counter += 1;
-        self.forget_dead(now);
+        self.own_heartbeat.counter += 1;
+        self.remove_expired(now);
         self.random_peer(now, rng)
     }
 
-    /// Every other pull goes to the own failure domain, whose members matter most. Seeds
-    /// stay targets for ever, so that a healed cut is found again; the more daemons there
-    /// are, the more rarely each asks one.
+    /// Chooses a random peer. Half of the pulls go to the own failure domain, whose members
+    /// matter most. Seeds remain targets permanently, so that a healed network partition is
+    /// detected; the more daemons there are, the more rarely each pulls from a seed.
     pub fn random_peer(&self, now: Timestamp, rng: &mut impl rand::Rng) -> Option<Address> {
-        const SEED_TURN: f64 = 0.1;
-        /// Pulls of seeds in one turn of the whole fleet.
-        const SEED_PULLS: f64 = 1.5;
-        const OWN_DOMAIN_TURN: f64 = 0.5;
-        let alive: Vec<&Heartbeat> = self.alive(now).collect();
-        let seed_turn = SEED_TURN.min(SEED_PULLS / (alive.len() as f64 + 1.0));
-        if alive.is_empty() || rng.random_bool(seed_turn) {
+        /// Upper bound of the probability that a pull goes to a seed.
+        const MAX_SEED_PROBABILITY: f64 = 0.1;
+        /// Pulls from seeds by the whole fleet in one round.
+        const SEED_PULLS_PER_ROUND: f64 = 1.5;
+        /// Probability that a pull goes to the own failure domain.
+        const OWN_DOMAIN_PROBABILITY: f64 = 0.5;
+        let alive: Vec<&Heartbeat> = self.live_peers(now).collect();
+        let seed_probability =
+            MAX_SEED_PROBABILITY.min(SEED_PULLS_PER_ROUND / (alive.len() as f64 + 1.0));
+        if alive.is_empty() || rng.random_bool(seed_probability) {
             let first = alive.first().map(|peer| peer.address);
             return self.seeds.choose(rng).copied().or(first);
         }
-        let own_domain = |peer: &&&Heartbeat| peer.failure_domain == self.me.failure_domain;
+        let own_domain =
+            |peer: &&&Heartbeat| peer.failure_domain == self.own_heartbeat.failure_domain;
         let own: Vec<&Heartbeat> = alive.iter().filter(own_domain).copied().collect();
-        let targets = if !own.is_empty() && rng.random_bool(OWN_DOMAIN_TURN) {
+        let targets = if !own.is_empty() && rng.random_bool(OWN_DOMAIN_PROBABILITY) {
             own
         } else {
             alive
@@ -202,61 +216,64 @@
         targets.choose(rng).map(|peer| peer.address)
     }
 
-    fn forget_dead(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         let forget_after = self.settings.forget_after;
         self.members
-            .retain(|_, member| now.since(member.advanced_at) < forget_after);
+            .retain(|_, member| now.since(member.last_advanced_at) < forget_after);
         let members = &self.members;
         self.runs.retain(|_, daemon| members.contains_key(daemon));
     }
 
-    /// What a message tells that is not about members.
-    pub fn greeting(&self) -> Gossip {
+    /// Gossip for a message on another topic: the sender's heartbeat only.
+    pub fn own_gossip(&self) -> Gossip {
         Gossip {
-            sender: self.me.clone(),
+            sender: self.own_heartbeat.clone(),
             members: Vec::new(),
             brief: Vec::new(),
         }
     }
 
-    /// What a message of this daemon tells. `asked` is what the peer told, if this is the
-    /// answer to it: then it is told of members that it does not know as they are.
+    /// Gossip for one message. `request` is the gossip of the request, if this is the answer to
+    /// it: then it contains members that the requester does not know, or not at their latest
+    /// revision.
     pub fn gossip(
         &self,
         now: Timestamp,
-        asked: Option<&Gossip>,
+        request: Option<&Gossip>,
         rng: &mut impl rand::Rng,
     ) -> Gossip {
-        let is_own = |peer: &&Heartbeat| peer.failure_domain == self.me.failure_domain;
-        let own: Vec<&Heartbeat> = self.alive(now).filter(is_own).collect();
-        let remote = self.alive(now).filter(|peer| !is_own(peer));
-        let remote = remote.choose_multiple(rng, REMOTE_COUNTERS);
+        let is_own = |peer: &&Heartbeat| peer.failure_domain == self.own_heartbeat.failure_domain;
+        let own: Vec<&Heartbeat> = self.live_peers(now).filter(is_own).collect();
+        let remote = self.live_peers(now).filter(|peer| !is_own(peer));
+        let remote = remote.choose_multiple(rng, REMOTE_SAMPLE_SIZE);
         let mut members: BTreeMap<&DaemonId, &Heartbeat> = self
-            .alive(now)
+            .live_peers(now)
             .choose_multiple(rng, self.settings.sample)
             .into_iter()
             .map(|peer| (&peer.daemon, peer))
             .collect();
-        // Few hold control, and news of a loss must find them.
-        let holders = self.alive(now).filter(|peer| peer.holds_control);
+        // Few daemons hold control, and reports of a loss must reach them.
+        let holders = self.live_peers(now).filter(|peer| peer.holds_control);
         members.extend(holders.map(|peer| (&peer.daemon, peer)));
-        let asked = asked.filter(|asked| asked.sender.failure_domain == self.me.failure_domain);
-        if let Some(asked) = asked {
-            let news = news_for(asked, &own);
-            members.extend(news.map(|peer| (&peer.daemon, peer)));
+        let request = request
+            .filter(|request| request.sender.failure_domain == self.own_heartbeat.failure_domain);
+        if let Some(request) = request {
+            let unknown = unknown_to(request, &own);
+            members.extend(unknown.map(|peer| (&peer.daemon, peer)));
         }
         Gossip {
-            sender: self.me.clone(),
+            sender: self.own_heartbeat.clone(),
             members: members.into_values().cloned().collect(),
             brief: own.iter().chain(&remote).map(|peer| peer.brief()).collect(),
         }
     }
 
-    /// Applies what a peer told; an older run or counter changes nothing.
+    /// Merges the gossip of a peer. Heartbeats of an older run and older counters are ignored; a
+    /// newer revision is applied even if its counter is older.
     pub fn merge(&mut self, now: Timestamp, gossip: Gossip) {
         for heartbeat in gossip.members.into_iter().chain([gossip.sender]) {
-            if heartbeat.daemon != self.me.daemon {
-                self.merge_whole(now, heartbeat);
+            if heartbeat.daemon != self.own_heartbeat.daemon {
+                self.merge_heartbeat(now, heartbeat);
             }
         }
         for brief in gossip.brief {
@@ -264,14 +281,15 @@
         }
     }
 
-    fn merge_whole(&mut self, now: Timestamp, heartbeat: Heartbeat) {
+    fn merge_heartbeat(&mut self, now: Timestamp, heartbeat: Heartbeat) {
         let run = heartbeat.run();
         let known = self.members.get_mut(&heartbeat.daemon);
         let Some(known) = known else {
             self.add(now, run, heartbeat);
             return;
         };
-        // Incarnations come from the wall clock at the start, so a new run is higher.
+        // Incarnations are taken from the wall clock at the start, so a later run has a higher
+        // one.
         if heartbeat.incarnation < known.heartbeat.incarnation {
             return;
         }
@@ -281,7 +299,7 @@
         }
         let counter = heartbeat.counter.max(known.heartbeat.counter);
         if heartbeat.counter > known.heartbeat.counter {
-            known.advanced_at = now;
+            known.last_advanced_at = now;
         }
         if heartbeat.revision > known.heartbeat.revision {
             known.heartbeat = heartbeat;
@@ -292,14 +310,14 @@
     fn add(&mut self, now: Timestamp, run: RunId, heartbeat: Heartbeat) {
         let daemon = heartbeat.daemon.clone();
         let state = MemberState {
-            advanced_at: now,
+            last_advanced_at: now,
             heartbeat,
         };
         self.runs.insert(run, daemon.clone());
         self.members.insert(daemon, state);
     }
 
-    /// A run that is not known whole is passed over: who it is comes with a reply.
+    /// Short heartbeats of unknown runs are ignored; the full heartbeat follows in a reply.
     fn merge_brief(&mut self, now: Timestamp, brief: BriefHeartbeat) {
         let known = self.runs.get(&brief.run);
         let Some(member) = known.and_then(|daemon| self.members.get_mut(daemon)) else {
@@ -308,93 +326,94 @@
         let is_newer = brief.counter > member.heartbeat.counter;
         if member.heartbeat.run() == brief.run && is_newer {
             member.heartbeat.counter = brief.counter;
-            member.advanced_at = now;
+            member.last_advanced_at = now;
         }
     }
 
-    /// How many daemons the fleet has at the least, this one among them. Members of other
-    /// failure domains are heard of more rarely, so that these count at least as many as
-    /// the own one: what is divided among all is then never handed out twice.
+    /// Lower bound of the number of daemons in the fleet, including this one. Heartbeats of other
+    /// failure domains arrive more rarely, so each known domain counts as at least as large as
+    /// the own one: shares of a fleet-wide total then never add up to more than the total.
     pub fn fleet_size(&self, now: Timestamp) -> usize {
         let heartbeats = self.members.values().map(|member| &member.heartbeat);
         let known: BTreeSet<&FailureDomain> = heartbeats
-            .chain([&self.me])
+            .chain([&self.own_heartbeat])
             .map(|peer| &peer.failure_domain)
             .collect();
         let own = self
-            .alive(now)
-            .filter(|peer| peer.failure_domain == self.me.failure_domain);
+            .live_peers(now)
+            .filter(|peer| peer.failure_domain == self.own_heartbeat.failure_domain);
         let by_domain = (own.count() + 1) * known.len();
-        by_domain.max(self.alive(now).count() + 1)
+        by_domain.max(self.live_peers(now).count() + 1)
     }
 
-    /// The live others.
-    pub fn alive(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
+    /// Live members other than this daemon.
+    pub fn live_peers(&self, now: Timestamp) -> impl Iterator<Item = &Heartbeat> {
         let dead_after = self.settings.dead_after;
         self.members
             .values()
-            .filter(move |member| now.since(member.advanced_at) < dead_after)
+            .filter(move |member| now.since(member.last_advanced_at) < dead_after)
             .map(|member| &member.heartbeat)
     }
 
-    /// Live members of a failure domain that take duties, this daemon among them.
-    pub fn on_duty<'a>(
+    /// Live members of a failure domain that take duties, including this daemon.
+    pub fn duty_members<'a>(
         &'a self,
         now: Timestamp,
         domain: &'a FailureDomain,
     ) -> impl Iterator<Item = &'a DaemonId> {
-        self.alive(now)
-            .chain(std::iter::once(&self.me))
+        self.live_peers(now)
+            .chain(std::iter::once(&self.own_heartbeat))
             .filter(move |peer| peer.failure_domain == *domain && !peer.leaving)
             .map(|peer| &peer.daemon)
     }
 
-    /// Members of the own failure domain by their weight for a duty, the highest first.
-    pub fn ranked(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
-        let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), usize::MAX)
+    /// Members of the own failure domain by their rendezvous weight for a duty, highest first.
+    pub fn ranked_members(&self, now: Timestamp, duty: &str) -> Vec<&DaemonId> {
+        let domain = &self.own_heartbeat.failure_domain;
+        hash::highest_weighted(&duty, self.duty_members(now, domain), usize::MAX)
     }
 
-    /// Whether there is any daemon to ask.
+    /// Whether any seed is configured.
     pub fn has_seeds(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Whether this daemon is among the `count` responsible for `duty` in its domain.
+    /// Whether this daemon is among the `count` members responsible for `duty` in its domain.
     pub fn is_responsible(&self, now: Timestamp, duty: &str, count: usize) -> bool {
-        let domain = &self.me.failure_domain;
-        hash::top(&duty, self.on_duty(now, domain), count).contains(&&self.me.daemon)
+        let domain = &self.own_heartbeat.failure_domain;
+        hash::highest_weighted(&duty, self.duty_members(now, domain), count)
+            .contains(&&self.own_heartbeat.daemon)
     }
 
-    /// The one live member that decides on a subject in a failure domain; of all members where
-    /// none of that domain is known.
+    /// The live member that decides on a subject in a failure domain. If no member of the domain
+    /// is known, it is chosen among all members.
     pub fn owner(&self, now: Timestamp, domain: &FailureDomain, subject: &impl Hash) -> Owner {
-        let of_domain = hash::top(subject, self.on_duty(now, domain), 1);
+        let of_domain = hash::highest_weighted(subject, self.duty_members(now, domain), 1);
         let owner = of_domain.into_iter().next().or_else(|| {
-            let all = self.alive(now).filter(|peer| !peer.leaving);
-            let all = all.chain([&self.me]).map(|peer| &peer.daemon);
-            hash::top(subject, all, 1).into_iter().next()
+            let all = self.live_peers(now).filter(|peer| !peer.leaving);
+            let all = all.chain([&self.own_heartbeat]).map(|peer| &peer.daemon);
+            hash::highest_weighted(subject, all, 1).into_iter().next()
         });
         owner
             .and_then(|daemon| self.address_of(now, daemon))
-            .map_or(Owner::Me, Owner::Peer)
+            .map_or(Owner::ThisDaemon, Owner::Peer)
     }
 
-    /// The one live member of the fleet that decides on a subject: of a failure domain that the
-    /// subject chooses, whose members know each other.
+    /// The live member of the fleet that decides on a subject. The subject selects a failure
+    /// domain first, as members of one domain know each other.
     pub fn fleet_owner(&self, now: Timestamp, subject: &impl Hash) -> Owner {
-        let peers = self.alive(now).filter(|peer| !peer.leaving);
+        let peers = self.live_peers(now).filter(|peer| !peer.leaving);
         let domains: BTreeSet<&FailureDomain> = peers
             .map(|peer| &peer.failure_domain)
-            .chain([&self.me.failure_domain])
+            .chain([&self.own_heartbeat.failure_domain])
             .collect();
-        let domain = hash::top(subject, domains.into_iter(), 1);
+        let domain = hash::highest_weighted(subject, domains.into_iter(), 1);
         domain
             .first()
-            .map_or(Owner::Me, |domain| self.owner(now, domain, subject))
+            .map_or(Owner::ThisDaemon, |domain| self.owner(now, domain, subject))
     }
 
-    /// Where those responsible for `duty` in a failure domain are reached.
+    /// Addresses of the live peers that are responsible for `duty` in a failure domain.
     pub fn responsible_addresses(
         &self,
         now: Timestamp,
@@ -402,50 +421,57 @@
         duty: &str,
         count: usize,
     ) -> Vec<Address> {
-        hash::top(&duty, self.on_duty(now, domain), count)
+        hash::highest_weighted(&duty, self.duty_members(now, domain), count)
             .into_iter()
             .filter_map(|daemon| self.address_of(now, daemon))
             .collect()
     }
 
-    /// Where a live peer is reached.
+    /// Address of a live peer.
     pub fn address_of(&self, now: Timestamp, daemon: &DaemonId) -> Option<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .find(|peer| peer.daemon == *daemon)
             .map(|peer| peer.address)
     }
 
-    /// The failure domain of the peer at an address, if it is known.
+    /// Failure domain of the peer at an address, if the peer is known.
     pub fn domain_of(&self, address: Address) -> Option<&FailureDomain> {
         let mut members = self.members.values().map(|member| &member.heartbeat);
         let peer = members.find(|peer| peer.address == address)?;
         Some(&peer.failure_domain)
     }
 
-    /// A few random live peers, for rumours.
-    pub fn some_peers(
+    /// Addresses of up to `count` random live peers.
+    pub fn random_peers(
         &self,
         now: Timestamp,
         count: usize,
         rng: &mut impl rand::Rng,
     ) -> Vec<Address> {
-        self.alive(now)
+        self.live_peers(now)
             .map(|peer| peer.address)
             .choose_multiple(rng, count)
     }
 }
 
-/// Members that the asker does not know, or not as they are now.
-fn news_for<'a>(asked: &Gossip, members: &[&'a Heartbeat]) -> impl Iterator<Item = &'a Heartbeat> {
-    let known: BTreeMap<RunId, u64> = asked
+/// Members that the requester does not know, or not at their latest revision.
+fn unknown_to<'a>(
+    request: &Gossip,
+    members: &[&'a Heartbeat],
+) -> impl Iterator<Item = &'a Heartbeat> {
+    let known: BTreeMap<RunId, u64> = request
         .brief
         .iter()
         .map(|brief| (brief.run, brief.revision))
         .collect();
-    let asker = asked.sender.daemon.clone();
-    let is_news = move |peer: &&Heartbeat| {
+    let requester = request.sender.daemon.clone();
+    let is_unknown = move |peer: &&Heartbeat| {
         let revision = known.get(&peer.run());
-        peer.daemon != asker && revision.is_none_or(|known| *known < peer.revision)
+        peer.daemon != requester && revision.is_none_or(|known| *known < peer.revision)
     };
-    members.iter().copied().filter(is_news).take(NEWS)
+    members
+        .iter()
+        .copied()
+        .filter(is_unknown)
+        .take(MAX_FULL_IN_REPLY)
 }
--- a/shalehinge/src/core/placement/preemption.rs
+++ b/shalehinge/src/core/placement/preemption.rs
@@ -1,88 +1,87 @@
-//! Preemption of groups of a well-served model for one that lacks more.
+//! Preemption of groups of a well-supplied model for a model with a larger shortage.
 //!
-//! A large replica that lost a host may leave survivors that are too few for another
-//! one, or too few that hold its weights, while small groups stand beside them. Where
-//! the large model has less of what it should have than the small one would still have,
-//! a small group is retired: the worse served of the two is then served better, and
-//! sooner than by a load of weights.
+//! When a large replica loses a host, too few survivors, or too few hosts with its weights, may
+//! remain for a new replica, while small groups run in the same fabric domain. If the large model
+//! has a smaller fraction of the replicas it needs than the small model would still have, a small
+//! group is retired. This improves the worse-supplied model, and is faster than loading weights.
 
 use std::collections::BTreeMap;
 
 use crate::core::objects::{Group, GroupPhase};
 use crate::core::types::{FabricDomain, GroupNumber, HostId, ModelName};
 
-use super::make_room::{FreeCounts, fabric_of, frees_enough};
+use super::make_room::{FreeCounts, fabric_of, would_free_enough};
 use super::planner::PlacementContext;
 
-/// Part of the needed replicas of a model that stands, with `more` of them.
-fn standing_part(context: &PlacementContext<'_>, model: &ModelName, more: i64) -> f64 {
+/// Fraction of the model's required replicas that exist, if `added` were added to them.
+fn supplied_fraction(context: &PlacementContext<'_>, model: &ModelName, added: i64) -> f64 {
     let groups = context.assignment.groups.iter();
-    let standing = groups.filter(|(number, group)| {
+    let existing = groups.filter(|(number, group)| {
         let is_lost = context.lost.contains_key(number);
         group.model == *model && group.phase != GroupPhase::Retiring && !is_lost
     });
-    (standing.count() as i64 + more) as f64 / context.replicas_needed(model)
+    (existing.count() as i64 + added) as f64 / context.required_replicas(model)
 }
 
-/// Whether a host holds the weights of a model, of any version.
-pub fn holds(context: &PlacementContext<'_>, host: &HostId, model: &ModelName) -> bool {
+/// Whether a host holds weights of a model, of any version.
+pub fn holds_weights(context: &PlacementContext<'_>, host: &HostId, model: &ModelName) -> bool {
     let held = context.held.get(host);
     held.is_some_and(|held| held.iter().any(|(known, _)| known == model))
 }
 
-/// The group whose hosts, beside the free ones of its fabric domain, are enough for a
-/// group of `size` without a load, and whose model is still served better without it
-/// than `model` is. `free` counts hosts that hold the weights of `model`.
+/// The smallest serving group whose hosts, together with the free hosts of its fabric domain,
+/// suffice for a group of `size` without loading weights, and whose model stays better supplied
+/// than `model` even without it. `free` counts the hosts that hold the weights of `model`.
 pub fn group_to_preempt(
     context: &PlacementContext<'_>,
     free: &FreeCounts,
     model: &ModelName,
     size: usize,
 ) -> Option<GroupNumber> {
-    let own_part = standing_part(context, model, 0);
-    let may_give = |group: &Group| {
+    let own_fraction = supplied_fraction(context, model, 0);
+    let may_preempt = |group: &Group| {
         group.phase == GroupPhase::Serving
             && group.model != *model
             && group.members.len() < size
-            && standing_part(context, &group.model, -1) > own_part
+            && supplied_fraction(context, &group.model, -1) > own_fraction
             && group
                 .members
                 .iter()
-                .all(|member| holds(context, &member.host, model))
-            && frees_enough(group, context.hosts, free, size)
+                .all(|member| holds_weights(context, &member.host, model))
+            && would_free_enough(group, context.hosts, free, size)
     };
     let groups = context.assignment.groups.iter();
-    let mut givers = groups
-        .filter(|(number, group)| !context.lost.contains_key(number) && may_give(group))
+    let mut candidates = groups
+        .filter(|(number, group)| !context.lost.contains_key(number) && may_preempt(group))
         .map(|(number, group)| (group.members.len(), *number))
         .collect::<Vec<_>>();
-    givers.sort_unstable();
-    givers.first().map(|(_, number)| *number)
+    candidates.sort_unstable();
+    candidates.first().map(|(_, number)| *number)
 }
 
-/// A fabric domain where a group of `size` can be formed without a load once those that
-/// retire have left: its free hosts must not be used up meanwhile. `free` counts hosts
-/// that hold the weights of `model`.
-pub fn fabric_to_keep(
+/// A fabric domain in which a group of `size` can be formed without loading weights once the
+/// retiring groups have left. Its free hosts must not be used for other groups meanwhile. `free`
+/// counts the hosts that hold the weights of `model`.
+pub fn fabric_to_reserve(
     context: &PlacementContext<'_>,
     free: &FreeCounts,
     model: &ModelName,
     size: usize,
 ) -> Option<FabricDomain> {
-    let mut coming: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
+    let mut releasing: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
     for group in context.assignment.groups.values() {
         if group.phase != GroupPhase::Retiring {
             continue;
         }
         let members = group.members.iter();
-        let holding = members.filter(|member| holds(context, &member.host, model));
+        let holding = members.filter(|member| holds_weights(context, &member.host, model));
         if let Some(fabric) = fabric_of(group, context.hosts) {
-            *coming.entry(fabric).or_default() += holding.count();
+            *releasing.entry(fabric).or_default() += holding.count();
         }
     }
-    let fabric = coming.into_iter().find(|(fabric, count)| {
-        let left = free.get(*fabric).copied().unwrap_or(0);
-        left < size && left + count >= size
+    let fabric = releasing.into_iter().find(|(fabric, count)| {
+        let available = free.get(*fabric).copied().unwrap_or(0);
+        available < size && available + count >= size
     });
     fabric.map(|(fabric, _)| fabric.clone())
 }
--- a/shalehinge/src/core/router/dispatch.rs
+++ b/shalehinge/src/core/router/dispatch.rs
@@ -1,7 +1,8 @@
-//! The state machine that joins queue, choice, attempts and outcomes.
+//! The router's state machine, which combines queueing, upstream selection, attempts and
+//! outcomes.
 //!
-//! Every request that is submitted gets exactly one answer. A request that was
-//! given up gets it at once.
+//! Every submitted request receives exactly one answer. A cancelled request is answered
+//! immediately.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,58 +14,59 @@
 use crate::settings::router::RouterSettings;
 
 use super::choose::Choice;
-use super::failing::Fault;
-use super::named::Urgency;
+use super::failing::FailureCause;
+use super::limit_state::PermitUrgency;
 use super::quarantine::Quarantine;
-use super::refusal::{Waiting, refused, unavailable_refusal, waiting_refusal};
+use super::refusal::{QueuedContext, queued_refusal, refused, unavailable_refusal};
 use super::request::{
     Attempt, AttemptEnd, NotRunReason, Outcome, RequestMeta, Target, UnknownReason, UpstreamId,
 };
 use super::retry_budget::RetryBudget;
-use super::suspects::{Asked, Unexplained};
+use super::suspects::{PendingCheck, RequestSubject};
 use super::target::{FIRST_SERVER_ERROR, Pending, TargetState};
 use super::topology::Topology;
-use super::trying::{NO_TRIAL, TrialState};
+use super::trial::{NO_TRIAL, TrialState};
 use super::upstream::Upstream;
 
-/// Part of a shared burst that is used: not all daemons know of each other.
-const SAFE_BURST: f64 = 0.7;
-/// Candidates named in a log line.
-const LOGGED_CANDIDATES: usize = 4;
+/// Fraction of its share of the fleet-wide retry burst that a daemon uses, as not every daemon
+/// knows of all others.
+const BURST_FRACTION: f64 = 0.7;
+/// Maximum number of candidates included in a log line.
+const MAX_LOGGED_CANDIDATES: usize = 4;
 
-/// What the router wants done.
+/// An action for the caller of the router to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterAction {
     /// Send a request to an upstream.
     Send(Attempt),
-    /// Give a caller its final answer.
+    /// Give the caller of a request its final answer.
     Answer {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What became of it.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// Break off an attempt and never use its connection again.
+    /// Cancel an attempt and do not reuse its connection.
     Abandon(AttemptId),
-    /// Look whether an upstream is still there.
+    /// Check whether an upstream is still running after an attempt was lost.
     CheckUpstream {
-        /// Which upstream.
+        /// The upstream.
         upstream: UpstreamId,
-        /// Where it listened.
+        /// The address it last listened on.
         address: Address,
     },
-    /// Tell a limit's owner what an answer said.
-    TellLimit(LimitReport),
-    /// Ask a limit's owner for permits.
-    AskPermits {
-        /// What is known of the limit.
+    /// Report a limit named by an upstream's answer to the limit's owner.
+    ReportLimit(LimitReport),
+    /// Request permits from a limit's owner.
+    RequestPermits {
+        /// What this daemon knows of the limit.
         known: LimitReport,
-        /// Permits that can be used soon.
+        /// Number of permits that this daemon can use soon.
         wanted: u32,
     },
-    /// Ask whoever hands out the trials of a target for one.
-    AskTrial(TrialRequest),
-    /// A line for the log of decisions.
+    /// Request a trial of a suspected request from the owner of the target's trials.
+    RequestTrial(TrialRequest),
+    /// Write a line to the log of routing decisions.
     Log(String),
 }
 
@@ -77,19 +79,19 @@
     pub(super) targets: BTreeMap<Target, TargetState>,
     pub(super) pending: BTreeMap<RequestId, Pending>,
     pub(super) retries: RetryBudget,
-    pub(super) sharers: usize,
+    pub(super) daemon_count: usize,
     pub(super) waiting: usize,
-    pub(super) keys_until: Option<Timestamp>,
+    pub(super) keys_valid_until: Option<Timestamp>,
     pub(super) quarantine: Quarantine,
-    /// Attempts that broke off at upstreams which are being looked for.
-    pub(super) unexplained: BTreeMap<UpstreamId, Unexplained>,
-    /// Requests on trial here, and where.
-    pub(super) tried: BTreeMap<Fingerprint, UpstreamId>,
+    /// Lost attempts, by upstream, while it is being checked whether the upstream crashed.
+    pub(super) pending_checks: BTreeMap<UpstreamId, PendingCheck>,
+    /// Upstreams at which suspected requests are or were tried by this daemon.
+    pub(super) trial_upstreams: BTreeMap<Fingerprint, UpstreamId>,
     pub(super) ticked_at: Timestamp,
 }
 
 impl Router {
-    /// A router without upstreams.
+    /// Creates a router without upstreams.
     pub fn new(settings: RouterSettings, incarnation: Incarnation) -> Self {
         Self {
             retries: if settings.retry_burst_is_shared {
@@ -102,27 +104,28 @@
             next_attempt: 1,
             targets: BTreeMap::new(),
             pending: BTreeMap::new(),
-            sharers: 1,
+            daemon_count: 1,
             waiting: 0,
-            keys_until: None,
+            keys_valid_until: None,
             quarantine: Quarantine::default(),
-            unexplained: BTreeMap::new(),
-            tried: BTreeMap::new(),
+            pending_checks: BTreeMap::new(),
+            trial_upstreams: BTreeMap::new(),
             ticked_at: Timestamp::ZERO,
         }
     }
 
-    /// How many daemons send to the same upstreams.
-    pub fn set_sharers(&mut self, sharers: usize) {
-        self.sharers = sharers.max(1);
+    /// Sets the number of daemons that send to the same upstreams, at least 1.
+    pub fn set_daemon_count(&mut self, daemon_count: usize) {
+        self.daemon_count = daemon_count.max(1);
         for state in self.targets.values_mut() {
             for upstream in &mut state.upstreams {
-                upstream.set_sharers(self.sharers);
+                upstream.set_daemon_count(self.daemon_count);
             }
         }
         if self.settings.retry_burst_is_shared {
-            let part = self.settings.retry_burst * SAFE_BURST / self.sharers as f64;
-            self.retries.set_burst(part);
+            let share_of_burst =
+                self.settings.retry_burst * BURST_FRACTION / self.daemon_count as f64;
+            self.retries.set_burst(share_of_burst);
         }
     }
 
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Takes in which upstreams there are; what is known of those that stay is kept.
+    /// Replaces the set of upstreams. State of upstreams that remain is kept.
     pub fn set_topology(&mut self, topology: Topology) {
         for (target, specs) in topology.iter() {
             let state = self.targets.entry(target.clone()).or_default();
@@ -147,7 +150,7 @@
                 upstream.update(spec.clone());
                 state.upstreams.push(upstream);
             }
-            // Those that left the topology stay until their requests have ended.
+            // Upstreams that left the topology are kept until their requests have ended.
             for mut upstream in old {
                 if upstream.in_flight() > 0 {
                     upstream.spec.accepts_new = false;
@@ -164,17 +167,17 @@
         }
     }
 
-    /// Requests not yet answered.
+    /// Number of requests not yet answered.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Requests that wait for an upstream.
+    /// Number of requests waiting for an upstream.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Upstreams of a target that may serve now, and all of them.
+    /// Numbers of eligible upstreams and of all upstreams of a target.
     pub fn eligible(&self, now: Timestamp, target: &Target) -> (usize, usize) {
         let Some(state) = self.targets.get(target) else {
             return (0, 0);
@@ -183,17 +186,18 @@
         (eligible.count(), state.upstreams.len())
     }
 
-    /// All upstreams with whether they may serve, for status pages.
+    /// All upstreams of all targets.
     pub fn upstreams(&self) -> impl Iterator<Item = &Upstream> {
         self.targets.values().flat_map(|state| &state.upstreams)
     }
 
-    /// What a request is for that is not yet answered.
+    /// The target of a request that has not been answered yet.
     pub fn target_of(&self, request: RequestId) -> Option<&Target> {
         Some(&self.pending.get(&request)?.meta.target)
     }
 
-    /// Takes in a request of a customer with this share.
+    /// Accepts a request of a customer with this share. It is sent, queued, held for a trial or
+    /// refused.
     pub fn submit(
         &mut self,
         now: Timestamp,
@@ -215,13 +219,13 @@
         let cost = state.cost_of(&meta);
         let pending = Pending {
             meta,
-            came_at: now,
+            arrived_at: now,
             attempts: 0,
-            runs: 0,
+            possible_runs: 0,
             tried: Vec::new(),
             running: None,
-            seen_output: false,
-            earlier: None,
+            has_output: false,
+            earlier_outcome: None,
             cost,
             share,
             trial: TrialState::None,
@@ -243,7 +247,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Sends waiting requests while there is room.
+    /// Sends queued requests of a target while upstreams have room.
     pub(super) fn dispatch(
         &mut self,
         now: Timestamp,
@@ -268,29 +272,30 @@
                 continue;
             };
             let service_time = state.service_time(&pending.meta);
-            let refusal = waiting_refusal(&Waiting {
+            let refusal = queued_refusal(&QueuedContext {
                 now,
                 settings: &self.settings,
                 quarantine: &self.quarantine,
-                keys_until: self.keys_until,
+                keys_valid_until: self.keys_valid_until,
                 service_time,
                 pending,
             });
             if let Some(refusal) = refusal {
-                self.end_next(target, refused(refusal), out);
+                self.answer_next(target, refused(refusal), out);
                 continue;
             }
             let selection = state.choose_for(now, &self.settings, pending, rng);
             let Some(choice) = selection.choice else {
                 if matches!(pending.trial, TrialState::At(_)) {
-                    // Its upstream is gone: the others that wait must not wait for it.
-                    self.end_next(target, NO_TRIAL, out);
+                    // The upstream of the trial is gone. Requests queued behind it must not wait
+                    // for it.
+                    self.answer_next(target, NO_TRIAL, out);
                     continue;
                 }
                 let wait = state.unavailable_for(now).unwrap_or_default();
                 let time_left = pending.meta.deadline.since(now);
                 if let Some(refusal) = unavailable_refusal(&self.settings, wait, time_left) {
-                    self.end_next(target, refused(refusal), out);
+                    self.answer_next(target, refused(refusal), out);
                     continue;
                 }
                 state.ask_permits_for_all(now, out);
@@ -300,7 +305,7 @@
                 return;
             };
             if let Some(wanted) = selection.wanted {
-                out.extend(state.ask_permits(now, wanted, Urgency::Spare));
+                out.extend(state.ask_permits(now, wanted, PermitUrgency::Prefetch));
             }
             state.queue.pop();
             self.waiting -= 1;
@@ -312,23 +317,23 @@
             if pending.attempts == 0 {
                 self.retries.deposit();
             }
-            out.push(RouterAction::Log(decision(
+            out.push(RouterAction::Log(decision_line(
                 request, pending, state, &choice,
             )));
             let mut attempt = state.send(now, request, pending, id, choice.index);
             if matches!(pending.trial, TrialState::At(_)) {
-                self.tried
+                self.trial_upstreams
                     .insert(pending.meta.fingerprint, attempt.upstream.clone());
             }
-            if let (Some(until), Some(_)) = (self.keys_until, &pending.meta.credential) {
+            if let (Some(until), Some(_)) = (self.keys_valid_until, &pending.meta.credential) {
                 attempt.valid_until = attempt.valid_until.min(until);
             }
             out.push(RouterAction::Send(attempt));
         }
     }
 
-    /// Takes the next request out of a target's line and ends it.
-    fn end_next(&mut self, target: &Target, outcome: Outcome, out: &mut Vec<RouterAction>) {
+    /// Removes the next request from a target's queue and answers it.
+    fn answer_next(&mut self, target: &Target, outcome: Outcome, out: &mut Vec<RouterAction>) {
         let state = self.targets.get_mut(target);
         if let Some(next) = state.and_then(|state| state.queue.pop()) {
             self.waiting -= 1;
@@ -336,7 +341,7 @@
         }
     }
 
-    /// The first output of an attempt reached the caller.
+    /// Handles the first output of an attempt that reaches the caller.
     pub fn on_output(&mut self, now: Timestamp, request: RequestId, attempt: AttemptId) {
         let Some(pending) = self.pending.get_mut(&request) else {
             return;
@@ -344,7 +349,7 @@
         let Some(running) = pending.running.as_mut().filter(|r| r.id == attempt) else {
             return;
         };
-        pending.seen_output = true;
+        pending.has_output = true;
         let is_first = running.first_at.replace(now).is_none();
         let sent_at = running.sent_at;
         let (target, upstream) = (pending.meta.target.clone(), running.upstream.clone());
@@ -358,7 +363,7 @@
         }
     }
 
-    /// More output of an attempt came.
+    /// Handles further output of an attempt.
     pub fn on_progress(&mut self, now: Timestamp, request: RequestId, attempt: AttemptId) {
         let Some(pending) = self.pending.get(&request) else {
             return;
@@ -372,7 +377,8 @@
         }
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt: the request is answered, retried, or held until its
+    /// upstream has been checked.
     pub fn on_ended(
         &mut self,
         now: Timestamp,
@@ -392,34 +398,34 @@
             return;
         };
         let target = pending.meta.target.clone();
-        let asked = Asked {
+        let subject = RequestSubject {
             fingerprint: pending.meta.fingerprint,
             target: target.clone(),
         };
         if let Some(state) = self.targets.get_mut(&target) {
-            let fault = state.settle(now, &self.settings, pending, &running, end);
-            if let Some(Fault::OfRequest { failed_at }) = fault {
+            let cause = state.on_attempt_ended(now, &self.settings, pending, &running, end);
+            if let Some(FailureCause::Request { failed_at }) = cause {
                 out.push(RouterAction::Log(format!(
-                    "request {} failed at {} as it did at {failed_at}, which is not counted against them",
+                    "request {} failed at {} as it did at {failed_at}; this failure is not counted against the upstream",
                     request.0, running.upstream
                 )));
             }
         }
         if !matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused) {
-            pending.runs += 1;
+            pending.possible_runs += 1;
         }
-        self.learn_from(now, request, &asked, &running.upstream, end, out);
+        self.record_evidence(now, request, &subject, &running.upstream, end, out);
         match outcome_of(end, || self.retry_after(now, &target)) {
             Outcome::Completed => self.answer(request, Outcome::Completed, out),
-            outcome if self.awaits_check(&asked, &running.upstream) => {
-                self.wait_for_check(&running.upstream, request, outcome);
+            outcome if self.awaits_check(&subject, &running.upstream) => {
+                self.hold_until_checked(&running.upstream, request, outcome);
             }
             outcome => self.retry_or_answer(now, request, outcome, out),
         }
         self.dispatch(now, &target, rng, out);
     }
 
-    /// Ends a request; `last` is what its last attempt came to.
+    /// Answers a request; `last` is the outcome of its last attempt.
     pub(super) fn answer(
         &mut self,
         request: RequestId,
@@ -433,7 +439,8 @@
         out.push(RouterAction::Answer { request, outcome });
     }
 
-    /// Tries again where that is safe, useful and within the budget.
+    /// Retries a request if that is safe, useful and within the retry budget, and answers it
+    /// otherwise.
     pub(super) fn retry_or_answer(
         &mut self,
         now: Timestamp,
@@ -448,31 +455,31 @@
             Outcome::NotRun { .. } => true,
             Outcome::Failed { status } if status < FIRST_SERVER_ERROR => false,
             Outcome::Failed { .. } | Outcome::Unknown { .. } => {
-                let is_whole = !pending.seen_output || pending.meta.is_resumable;
-                pending.meta.repeatable && is_whole
+                let is_restartable = !pending.has_output || pending.meta.is_resumable;
+                pending.meta.repeatable && is_restartable
             }
             Outcome::Completed => false,
         };
         let in_time = now < pending.meta.deadline;
-        let most_runs = pending.meta.max_attempts;
-        let has_runs_left = most_runs.is_none_or(|most| pending.runs < most);
-        let has_tries_left = pending.attempts < self.settings.max_attempts;
+        let max_runs = pending.meta.max_attempts;
+        let has_runs_left = max_runs.is_none_or(|limit| pending.possible_runs < limit);
+        let has_attempts_left = pending.attempts < self.settings.max_attempts;
         let is_quarantined = self
             .quarantine
             .time_left(now, pending.meta.fingerprint, &self.settings)
             .is_some();
-        let again = is_safe && in_time && has_tries_left && has_runs_left && !is_quarantined;
-        if !again || !self.retries.withdraw() {
+        let may_retry = is_safe && in_time && has_attempts_left && has_runs_left && !is_quarantined;
+        if !may_retry || !self.retries.withdraw() {
             self.answer(request, outcome, out);
             return;
         }
         let line = format!(
-            "request {} tries again after {outcome:?}, attempt {}",
+            "request {} is retried after {outcome:?}, attempt {}",
             request.0, pending.attempts
         );
         out.push(RouterAction::Log(line));
         if !matches!(outcome, Outcome::NotRun { .. }) {
-            pending.earlier = Some(outcome);
+            pending.earlier_outcome = Some(outcome);
         }
         if let Some(state) = self.targets.get_mut(&pending.meta.target) {
             state.enqueue(request, pending, self.settings.timely_first);
@@ -480,7 +487,8 @@
         }
     }
 
-    /// The caller left: what has not been sent is dropped, what runs is broken off.
+    /// Cancels a request whose caller left: a waiting request is dropped, a running attempt is
+    /// cancelled.
     pub fn cancel(&mut self, request: RequestId, out: &mut Vec<RouterAction>) {
         let Some(pending) = self.pending.remove(&request) else {
             return;
@@ -514,7 +522,7 @@
     }
 }
 
-/// What the end of the only attempt says of the request.
+/// The outcome of a request whose only attempt ended in this way.
 fn outcome_of(end: AttemptEnd, retry_after: impl FnOnce() -> Duration) -> Outcome {
     match end {
         AttemptEnd::Completed { .. } => Outcome::Completed,
@@ -532,18 +540,23 @@
     }
 }
 
-/// The log line of one routing decision.
-fn decision(request: RequestId, pending: &Pending, state: &TargetState, choice: &Choice) -> String {
+/// Formats the log line of a routing decision.
+fn decision_line(
+    request: RequestId,
+    pending: &Pending,
+    state: &TargetState,
+    choice: &Choice,
+) -> String {
     let chosen = &state.upstreams[choice.index].spec.id;
     let mut line = format!(
-        "request {} of {} to {chosen} for {}, attempt {}, {} wait;",
+        "request {} of {} to {chosen} for {}, attempt {}, {} queued;",
         request.0,
         pending.meta.customer,
         pending.meta.target,
         pending.attempts + 1,
         state.queue.len(),
     );
-    for candidate in choice.compared.iter().take(LOGGED_CANDIDATES) {
+    for candidate in choice.compared.iter().take(MAX_LOGGED_CANDIDATES) {
         line.push_str(&format!(
             " {} load {:.2} prefix {} score {:.2}",
             candidate.upstream, candidate.load, candidate.prefix_blocks, candidate.score
--- a/shalehinge/src/core/router/failing.rs
+++ b/shalehinge/src/core/router/failing.rs
@@ -1,9 +1,9 @@
-//! Requests that fail wherever they run, so that their failures show nothing of upstreams.
+//! Detects requests that fail on every upstream, whose failures say nothing about the upstreams.
 //!
-//! A failure counts against the upstream that answered it, unless the same request failed at
-//! another one too and was completed by none since. Guards against one caller's request that
-//! takes one upstream after the other out of use for all, until none may be ejected that really
-//! fails.
+//! A failure counts against the upstream that returned it, unless the same request also failed on
+//! another upstream and no upstream has completed it since. Otherwise a failing request of one
+//! caller would eject one upstream after another for all callers, until the limit on ejections is
+//! reached and upstreams that are really failing can no longer be ejected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,20 +13,21 @@
 
 use super::request::UpstreamId;
 
-/// How long a failure is remembered after the last one of the same request. As long as
-/// the longest ejection, so that a request that comes less often ejects one upstream at a time.
-const FAILURE_MEMORY: Duration = Duration::from_secs(60);
-/// Requests that are remembered at most, some 100 bytes each.
-const MOST_RECORDS: usize = 1_024;
+/// How long a failure is remembered after the last failure of the same request. Equal to the
+/// longest ejection, so that a request that arrives less often ejects only one upstream at a
+/// time.
+const FAILURE_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of requests to remember, at about 100 bytes each.
+const MAX_RECORDS: usize = 1_024;
 
-/// What a failure shows.
+/// What a failure is attributed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// It counts against the upstream that answered it.
-    OfUpstream,
-    /// It is the request's own.
-    OfRequest {
-        /// Another upstream at which the same request failed.
+pub enum FailureCause {
+    /// The upstream that returned it.
+    Upstream,
+    /// The request itself.
+    Request {
+        /// Another upstream on which the same request failed.
         failed_at: UpstreamId,
     },
 }
@@ -34,51 +35,52 @@
 #[derive(Clone, Debug)]
 struct Record {
     first_at: UpstreamId,
-    /// Another upstream at which it failed as well.
-    other: Option<UpstreamId>,
+    /// Another upstream on which the request failed as well.
+    second_at: Option<UpstreamId>,
     last: Timestamp,
 }
 
-/// Requests that failed lately, and that none completed since.
+/// Requests that failed recently and that no upstream has completed since.
 #[derive(Clone, Debug, Default)]
 pub struct FailingRequests {
     records: BTreeMap<Fingerprint, Record>,
 }
 
 impl FailingRequests {
-    /// An upstream answered that it failed.
-    pub fn note_failure(
+    /// Records that an upstream returned a failure, and attributes it.
+    pub fn record_failure(
         &mut self,
         now: Timestamp,
         fingerprint: Fingerprint,
         upstream: &UpstreamId,
-    ) -> Fault {
-        self.forget_old(now);
+    ) -> FailureCause {
+        self.remove_expired(now);
         let Some(record) = self.records.get_mut(&fingerprint) else {
-            self.remember(now, fingerprint, upstream);
-            return Fault::OfUpstream;
+            self.insert(now, fingerprint, upstream);
+            return FailureCause::Upstream;
         };
         record.last = now;
         if record.first_at != *upstream {
-            record.other = Some(upstream.clone());
+            record.second_at = Some(upstream.clone());
             let failed_at = record.first_at.clone();
-            return Fault::OfRequest { failed_at };
+            return FailureCause::Request { failed_at };
         }
-        match &record.other {
-            Some(other) => Fault::OfRequest {
-                failed_at: other.clone(),
+        match &record.second_at {
+            Some(second_at) => FailureCause::Request {
+                failed_at: second_at.clone(),
             },
-            None => Fault::OfUpstream,
+            None => FailureCause::Upstream,
         }
     }
 
-    /// An upstream completed it, so that its failures were those of upstreams.
-    pub fn note_completion(&mut self, fingerprint: Fingerprint) {
+    /// Records that an upstream completed the request, so that its earlier failures are
+    /// attributable to upstreams.
+    pub fn record_completion(&mut self, fingerprint: Fingerprint) {
         self.records.remove(&fingerprint);
     }
 
-    fn remember(&mut self, now: Timestamp, fingerprint: Fingerprint, upstream: &UpstreamId) {
-        if self.records.len() >= MOST_RECORDS {
+    fn insert(&mut self, now: Timestamp, fingerprint: Fingerprint, upstream: &UpstreamId) {
+        if self.records.len() >= MAX_RECORDS {
             let oldest = self.records.iter().min_by_key(|(_, record)| record.last);
             if let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) {
                 self.records.remove(&oldest);
@@ -86,14 +88,14 @@
         }
         let record = Record {
             first_at: upstream.clone(),
-            other: None,
+            second_at: None,
             last: now,
         };
         self.records.insert(fingerprint, record);
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.records
-            .retain(|_, record| now.since(record.last) < FAILURE_MEMORY);
+            .retain(|_, record| now.since(record.last) < FAILURE_RETENTION);
     }
 }
--- a/shalehinge/src/core/router/keys.rs
+++ b/shalehinge/src/core/router/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of relayed requests: how long they count, and what becomes of waiting
-//! requests whose key is taken away.
+//! API keys of relayed requests: until when they are trusted, and what happens to waiting
+//! requests whose key is revoked.
 
 use crate::core::types::{RequestId, Timestamp};
 
@@ -7,18 +7,18 @@
 use super::request::{Credential, NotRunReason};
 
 impl Router {
-    /// Until when requests that came with a key may be sent.
-    pub fn set_keys_until(&mut self, until: Option<Timestamp>) {
-        self.keys_until = until;
+    /// Sets the time until which requests that carry a key may be sent; `None` means no limit.
+    pub fn set_keys_valid_until(&mut self, until: Option<Timestamp>) {
+        self.keys_valid_until = until;
     }
 
-    /// Ends waiting requests whose key nobody holds any more.
+    /// Ends waiting requests whose key has been revoked.
     pub fn recheck_keys(
         &mut self,
         is_held: impl Fn(&Credential) -> bool,
         out: &mut Vec<RouterAction>,
     ) {
-        let taken: Vec<RequestId> = self
+        let revoked: Vec<RequestId> = self
             .pending
             .iter()
             .filter(|(_, pending)| pending.running.is_none())
@@ -31,14 +31,14 @@
             })
             .map(|(request, _)| *request)
             .collect();
-        for request in taken {
-            self.take_from_line(request);
+        for request in revoked {
+            self.remove_from_queue(request);
             self.answer(request, self.not_run(NotRunReason::KeyTakenAway), out);
         }
     }
 
-    /// Takes a waiting request out of its line.
-    fn take_from_line(&mut self, request: RequestId) {
+    /// Removes a waiting request from its target's queue.
+    fn remove_from_queue(&mut self, request: RequestId) {
         let Some(pending) = self.pending.get(&request) else {
             return;
         };
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -160,7 +160,7 @@
         let router = core.router();
         let limited = router.limited_upstreams();
         let limits = limited.map(|(upstream, rate)| format!("limit.{upstream} {rate}"));
-        let cooling = router.cooling_upstreams(now);
+        let cooling = router.upstreams_in_cooldown(now);
         let cooldowns = cooling.map(|(upstream, left)| {
             let seconds = left.as_secs_f64();
             format!("cooldown_seconds.{upstream} {seconds:.3}")
@@ -272,8 +272,8 @@
 fn daemons(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
     let membership = core.membership();
     let everyone = membership
-        .alive(now)
-        .chain(std::iter::once(membership.me()));
+        .live_peers(now)
+        .chain(std::iter::once(membership.own_heartbeat()));
     let mut daemons: Vec<DaemonStatus> = everyone
         .map(|peer| DaemonStatus {
             daemon: peer.daemon.clone(),
--- a/shalehinge/tests/learning.rs
+++ b/shalehinge/tests/learning.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use shalehinge::core::feed::{Confirmation, Feed};
-use shalehinge::core::fleet_state::{Applied, FleetState, ObjectUpdate};
+use shalehinge::core::fleet_state::{ApplyResult, FleetState, ObjectUpdate};
 use shalehinge::core::objects::{
     CustomerConfig, FleetConfig, HostChanges, HostList, HostRecord, HostState, ModelProfile,
     Object, ObjectKey, RequestKind, RouteConfig, WeightedService,
@@ -199,20 +199,20 @@
     };
     assert_eq!(
         state.apply(change(3, &b, None)),
-        Applied::Nothing,
+        ApplyResult::Unchanged,
         "no list to apply it to"
     );
     let hosts = BTreeMap::from([(a.clone(), record(1))]);
     assert_ne!(
         state.apply(update(5, Object::Hosts(HostList { hosts }))),
-        Applied::Nothing
+        ApplyResult::Unchanged
     );
     assert_eq!(
         state.apply(change(4, &b, None)),
-        Applied::Nothing,
+        ApplyResult::Unchanged,
         "older than the list"
     );
-    assert_ne!(state.apply(change(6, &b, Some(&a))), Applied::Nothing);
+    assert_ne!(state.apply(change(6, &b, Some(&a))), ApplyResult::Unchanged);
     let known: Vec<HostId> = state
         .hosts()
         .expect("known")
@@ -261,7 +261,7 @@
         host,
         path,
         key_sha256: key,
-        spread: 0,
+        split_key: 0,
     }
 }
 
@@ -317,7 +317,7 @@
     let table = RouteTable::new(FleetVersion::NONE, &fleet(vec![split]));
     let to_y = (0..1_000).filter(|spread| {
         let query = RouteQuery {
-            spread: *spread,
+            split_key: *spread,
             ..query("h", "/a/", Some("good"))
         };
         table.find(query).expect("routed").service.as_str() == "y"
--- a/shalehinge/tests/lease.rs
+++ b/shalehinge/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The control lease at one candidate, as it reads answers that may be old.
+//! The control lease at one candidate whose reads may be stale.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// The lease of another daemon at a version.
+/// The lease as held by another daemon, at this version.
 fn held_by_other(version: u64) -> Option<Versioned<LeaseRecord>> {
     Some(Versioned {
         version: Version::without_era(version),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_old_answer_does_not_put_off_the_takeover() {
+fn a_stale_answer_does_not_delay_the_takeover() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), held_by_other(5));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_lease_that_was_renewed_unseen_is_not_taken_and_read_exactly() {
+fn a_conflict_with_an_unseen_renewal_leads_to_an_exact_read() {
     let mut lease = candidate();
     let first = step(&mut lease, 0);
     assert_eq!(first, Some(LeaseStep::Read(Freshness::MayBeStale)));
@@ -68,7 +68,7 @@
     step(&mut lease, 1_400);
     lease.on_read(at(1_410), held_by_other(5));
     step(&mut lease, 4_200);
-    // The platform had version 6 by then.
+    // The holder's renewal to version 6 was not visible in the stale answers.
     lease.on_conflict(at(4_210));
     assert_eq!(lease.held(at(4_220)), None);
     let again = step(&mut lease, 4_220);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_write_without_an_answer_is_settled_by_an_exact_read() {
+fn a_write_without_an_answer_is_resolved_by_an_exact_read() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), None);
@@ -84,13 +84,13 @@
         step(&mut lease, 1_400),
         Some(LeaseStep::Write { .. })
     ));
-    lease.on_unclear();
+    lease.on_unknown_outcome();
     let read = step(&mut lease, 2_800);
     assert_eq!(read, Some(LeaseStep::Read(Freshness::Exact)));
 }
 
 #[test]
-fn a_lease_that_another_writer_overwrote_is_taken_after_a_term_above_the_epochs_before() {
+fn an_overwritten_lease_is_taken_after_a_term_with_a_higher_epoch() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_read(at(10), held_by_other(5));
@@ -102,13 +102,13 @@
     assert!(matches!(early, Some(LeaseStep::Read(_))), "{early:?}");
     lease.on_foreign(at(4_210), Version::without_era(6));
     let Some(LeaseStep::Write { expect, record }) = step(&mut lease, 5_600) else {
-        panic!("a term has passed since it was overwritten");
+        panic!("expected a write a full term after the record was overwritten");
     };
     assert_eq!((expect, record.epoch), (Version::without_era(6), Epoch(4)));
 }
 
 #[test]
-fn a_lease_that_began_anew_is_raised_above_what_is_stored_before_it_is_used() {
+fn a_restarted_lease_is_raised_above_the_stored_epoch_before_use() {
     let mut lease = candidate();
     step(&mut lease, 0);
     lease.on_foreign(at(10), Version::without_era(6));
@@ -119,7 +119,7 @@
     lease.note_epoch(Epoch(7));
     assert_eq!(lease.held(at(4_230)), None);
     let Some(LeaseStep::Write { expect, record }) = step(&mut lease, 4_240) else {
-        panic!("it is raised at once");
+        panic!("expected a write that raises the epoch at once");
     };
     assert_eq!((expect, record.epoch), (Version::without_era(7), Epoch(8)));
     lease.on_written(at(4_250), Version::without_era(8));
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -1,47 +1,48 @@
-//! Upstreams in need that name how many requests they take from all daemons together.
+//! Overloaded upstreams that name a limit on the requests they accept from all daemons together.
 //!
-//! Callers saw nothing at first: two replicas that had named limits of 1.4 and 1.1 requests a second
-//! went on getting 4.6 and 3.3 of them, from seven of nine daemons, none of which sent more than
-//! four in four seconds.
+//! Guards against limits being ignored: two replicas that had named limits of 1.4 and 1.1
+//! requests per second kept receiving 4.6 and 3.3 per second, from seven of nine daemons, none of
+//! which sent more than four requests in four seconds. The limit header was passed through to
+//! callers like any other header and no code read it; both replicas received the same rate before
+//! and after they named their limits.
 //!
-//! Cause: the limit passed through to callers as any other header, and no decision knew of it. Evidence:
-//! the two got the same rate before they named their limits and for as long after as was looked, and
-//! no source named the header. A part of the limit for each daemon would not have held either: 340
-//! daemons that may each send one request send 340 at once.
+//! Dividing the limit evenly among the daemons would not work either: 340 daemons that may each
+//! send one request can send 340 at once.
 
 mod relay_support;
 
 use std::time::Duration;
 
 use relay_support::scene::{Scene, group};
-use shalehinge::core::named_limit::RequestRate;
+use shalehinge::core::advertised_limit::RequestRate;
 use shalehinge::core::router::request::Outcome;
 
-/// Where the requests of a limited upstream are counted.
+/// Length of the window in which the requests to a limited upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a limit was first named until it must hold.
-const IN_CONTACT: Duration = Duration::from_secs(3);
-/// Requests in a window above which users say that a limit is broken.
-fn most_in_window(rate: f64) -> usize {
+/// Time after a limit was first named until it must be observed.
+const LIMIT_DELAY: Duration = Duration::from_secs(3);
+/// The highest number of requests in a window that users tolerate at this limit, in requests per
+/// second.
+fn allowed_in_window(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 fn rate(value: f64) -> RequestRate {
-    RequestRate::per_second(value).expect("a rate")
+    RequestRate::per_second(value).expect("a valid rate")
 }
 
-trait Limits {
+trait LimitScene {
     fn limit(&mut self, index: u64, value: f64);
-    fn most(&self, index: u64, since: Duration) -> usize;
+    fn max_in_window(&self, index: u64, since: Duration) -> usize;
 }
 
-impl Limits for Scene {
+impl LimitScene for Scene {
     fn limit(&mut self, index: u64, value: f64) {
         self.fleet.limits.insert(group(index), rate(value));
     }
 
-    /// The most requests of a group in any window from `since` on.
-    fn most(&self, index: u64, since: Duration) -> usize {
+    /// The highest number of requests to a group in any window from `since` on.
+    fn max_in_window(&self, index: u64, since: Duration) -> usize {
         let times = self.times(index, since);
         let from = |start: &Duration| {
             let end = *start + WINDOW;
@@ -54,46 +55,54 @@
     }
 }
 
-/// All requests of a limited upstream, from all daemons, stay within what users allow.
-fn assert_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
-    let most = scene.most(index, since);
-    let allowed = most_in_window(value);
+/// Asserts that the requests of all daemons to a limited upstream stay within what users
+/// tolerate.
+fn assert_limit_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
+    let max_in_window = scene.max_in_window(index, since);
+    let allowed = allowed_in_window(value);
     assert!(
-        most <= allowed,
-        "{most} requests in 4 s at {value} a second, allowed {allowed}"
+        max_in_window <= allowed,
+        "{max_in_window} requests in 4 s at a limit of {value}/s, allowed {allowed}"
     );
 }
 
 #[test]
-fn two_limited_of_18_upstreams_get_no_more_than_they_take_from_nine_daemons() {
+fn two_of_18_upstreams_get_no_more_than_their_limits_from_nine_daemons() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
     scene.limit(0, 1.4);
     scene.limit(1, 1.1);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(20);
-    assert_holds(&scene, 0, 1.4, since);
-    assert_holds(&scene, 1, 1.1, since);
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    assert_limit_holds(&scene, 0, 1.4, since);
+    assert_limit_holds(&scene, 1, 1.1, since);
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
 }
 
 #[test]
-fn limited_upstreams_get_no_more_than_they_take_from_340_daemons() {
+fn upstreams_get_no_more_than_their_limits_from_340_daemons() {
     let mut scene = Scene::new(340, 60, 5);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
         scene.limit(index, value);
     }
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(12);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
-        assert_holds(&scene, index, value, since);
+        assert_limit_holds(&scene, index, value, since);
     }
-    let (whole, all) = scene.served();
-    assert_eq!(whole, all, "the others run the rest");
+    let (completed, submitted) = scene.served();
+    assert_eq!(
+        completed, submitted,
+        "the other upstreams must serve all requests"
+    );
 }
 
-/// Daemons, groups of the model, rounds between two requests of one daemon.
+/// Number of daemons, number of groups of the model, and rounds between two requests of one
+/// daemon.
 const SIZES: [(u16, u16, usize); 3] = [(3, 4, 1), (9, 18, 1), (90, 60, 4)];
 
 #[test]
@@ -102,40 +111,46 @@
         for value in [0.0, 0.2, 1.0, 1.4, 5.0, 50.0] {
             let mut scene = Scene::new(daemons, groups, every);
             scene.limit(0, value);
-            let since = scene.fleet.now + IN_CONTACT;
+            let since = scene.fleet.now + LIMIT_DELAY;
             scene.serve_seconds(13);
-            assert_holds(&scene, 0, value, since);
+            assert_limit_holds(&scene, 0, value, since);
             let least = value.min(1.0) / 4.0;
             let used = scene.rate_since(0, since);
             assert!(
                 used >= least,
-                "{used} of {value} a second at {daemons} daemons"
+                "{used}/s used of a limit of {value}/s with {daemons} daemons"
+            );
+            let (completed, submitted) = scene.served();
+            assert_eq!(
+                completed, submitted,
+                "not all served at a limit of {value}/s with {daemons} daemons"
             );
-            let (whole, all) = scene.served();
-            assert_eq!(whole, all, "at {value} a second and {daemons} daemons");
         }
     }
 }
 
 #[test]
-fn a_limit_that_changes_is_kept_as_it_is_now() {
+fn a_changed_limit_takes_effect() {
     let mut scene = Scene::small();
     scene.limit(0, 20.0);
     scene.serve_seconds(6);
     scene.limit(0, 0.5);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(10);
-    assert_holds(&scene, 0, 0.5, since);
+    assert_limit_holds(&scene, 0, 0.5, since);
     scene.limit(0, 5.0);
     scene.serve_seconds(4);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 5.0, since);
-    assert!(scene.rate_since(0, since) > 1.0, "more is used again");
+    assert_limit_holds(&scene, 0, 5.0, since);
+    assert!(
+        scene.rate_since(0, since) > 1.0,
+        "the higher limit must be used"
+    );
 }
 
 #[test]
-fn an_upstream_that_names_its_limit_no_more_gets_its_share_again() {
+fn an_upstream_whose_limit_ends_gets_its_share_again() {
     let mut scene = Scene::small();
     scene.limit(0, 0.0);
     scene.serve_seconds(8);
@@ -146,18 +161,18 @@
     let (limited, other) = (scene.rate_since(0, since), scene.rate_since(7, since));
     assert!(
         limited > other / 2.0,
-        "{limited} a second, another one gets {other}"
+        "{limited}/s, another upstream gets {other}/s"
     );
     let held = scene
         .fleet
         .daemons
         .iter()
         .map(|d| d.router().limited_upstreams().count());
-    assert_eq!(held.sum::<usize>(), 0, "no daemon keeps it");
+    assert_eq!(held.sum::<usize>(), 0, "no daemon may keep the limit");
 }
 
 #[test]
-fn upstreams_without_a_limit_are_asked_of_nobody() {
+fn upstreams_without_a_limit_cause_no_messages() {
     let mut scene = Scene::small();
     scene.serve_seconds(2);
     let before = scene.fleet.notices;
@@ -166,7 +181,7 @@
 }
 
 #[test]
-fn where_all_upstreams_are_limited_callers_get_what_there_is_and_others_come_back() {
+fn if_all_upstreams_are_limited_their_limits_are_used_and_other_callers_retry_later() {
     let mut scene = Scene::small();
     for index in 0..18 {
         scene.limit(index, 2.0);
@@ -175,10 +190,10 @@
     let (since, before) = (scene.fleet.now, scene.served().0);
     scene.serve_seconds(10);
     for index in 0..18 {
-        assert_holds(&scene, index, 2.0, since);
+        assert_limit_holds(&scene, index, 2.0, since);
     }
     let served = (scene.served().0 - before) as f64 / 10.0;
-    assert!(served > 18.0 * 2.0 * 0.7, "{served} a second of 36");
+    assert!(served > 18.0 * 2.0 * 0.7, "{served}/s served of 36/s");
     for outcome in &scene.fleet.outcomes {
         match outcome {
             Outcome::Completed => {}
@@ -186,16 +201,19 @@
             other => panic!("{other:?}"),
         }
     }
-    // Each daemon has its callers served, whoever owns the limits.
+    // Each daemon must get requests of its callers served, whichever daemons own the limits.
     for daemon in 0..9 {
         let arrivals = scene.fleet.arrivals.iter();
         let own = arrivals.filter(|a| a.daemon == daemon && a.at >= since);
-        assert!(own.count() >= 10, "daemon {daemon} got next to nothing");
+        assert!(
+            own.count() >= 10,
+            "fewer than 10 requests of daemon {daemon} were served"
+        );
     }
 }
 
 #[test]
-fn a_few_requests_to_limited_upstreams_alone_are_sent_at_once() {
+fn a_few_requests_are_sent_at_once_if_all_upstreams_are_limited() {
     let mut scene = Scene::new(9, 2, usize::MAX);
     for index in 0..2 {
         scene.limit(index, 2.0);
@@ -206,17 +224,17 @@
         }
         scene.serve_seconds(2);
     }
-    let (whole, all) = scene.served();
-    assert_eq!((whole, all), (36, 36));
+    let (completed, submitted) = scene.served();
+    assert_eq!((completed, submitted), (36, 36));
 }
 
 #[test]
-fn a_limit_holds_while_daemons_end_and_start_again() {
+fn a_limit_holds_while_daemons_restart() {
     let mut scene = Scene::small();
     for index in 0..4 {
         scene.limit(index, 1.0);
     }
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(4);
     for daemon in 0..9 {
         scene.fleet.dead.insert(daemon);
@@ -225,21 +243,21 @@
         scene.serve_seconds(1);
     }
     for index in 0..4 {
-        assert_holds(&scene, index, 1.0, since);
+        assert_limit_holds(&scene, index, 1.0, since);
         assert!(
             scene.rate_since(index, since) > 0.2,
-            "others own it meanwhile"
+            "another daemon must own the limit meanwhile"
         );
     }
 }
 
 #[test]
-fn each_side_of_a_cut_keeps_the_limit_for_itself() {
+fn each_side_of_a_network_partition_observes_the_limit() {
     let mut scene = Scene::small();
     scene.limit(0, 1.0);
     scene.serve_seconds(5);
     scene.fleet.partitioned.extend([0, 3, 6]);
-    let since = scene.fleet.now + IN_CONTACT;
+    let since = scene.fleet.now + LIMIT_DELAY;
     scene.serve_seconds(12);
     let cut = scene.fleet.partitioned.clone();
     let arrivals = std::mem::take(&mut scene.fleet.arrivals);
@@ -247,30 +265,30 @@
         arrivals.into_iter().partition(|a| cut.contains(&a.daemon));
     for side in [one, other] {
         scene.fleet.arrivals = side;
-        assert_holds(&scene, 0, 1.0, since);
+        assert_limit_holds(&scene, 0, 1.0, since);
     }
     scene.fleet.arrivals.clear();
     scene.fleet.partitioned.clear();
     scene.serve_seconds(4);
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 1.0, since);
+    assert_limit_holds(&scene, 0, 1.0, since);
 }
 
 #[test]
-fn a_limit_costs_few_messages() {
+fn a_limit_causes_few_messages() {
     let mut scene = Scene::new(90, 60, 4);
     scene.limit(0, 1.0);
     scene.serve_seconds(12);
     let before = scene.fleet.notices;
     scene.serve_seconds(10);
     let each = (scene.fleet.notices - before) as f64 / 10.0;
-    assert!(each < 30.0, "{each} messages a second of 90 daemons");
+    assert!(each < 30.0, "{each} messages/s from 90 daemons");
 }
 
-/// A limit of which nobody made use for long is no store of permits.
+/// Permits of a limit that was not used for a long time must not accumulate.
 #[test]
-fn few_requests_come_late_and_no_more_than_a_limit_is_sent_at_once() {
+fn an_unused_limit_does_not_accumulate_permits() {
     let mut scene = Scene::new(9, 1, usize::MAX);
     scene.limit(0, 5.0);
     scene.fleet.send_completing_stream(0);
@@ -278,7 +296,7 @@
     scene.every = 1;
     let since = scene.fleet.now;
     scene.serve_seconds(8);
-    assert_holds(&scene, 0, 5.0, since);
+    assert_limit_holds(&scene, 0, 5.0, since);
 }
 
 #[test]
@@ -288,15 +306,15 @@
         for value in [0.2, 1.0, 1.4, 5.0, 50.0] {
             let mut scene = Scene::new(daemons, groups, every);
             scene.limit(0, value);
-            let since = scene.fleet.now + IN_CONTACT;
+            let since = scene.fleet.now + LIMIT_DELAY;
             let notices = scene.fleet.notices;
             scene.serve_seconds(13);
-            let most = scene.most(0, since);
-            let allowed = most_in_window(value);
+            let max_in_window = scene.max_in_window(0, since);
+            let allowed = allowed_in_window(value);
             let used = scene.rate_since(0, since);
             let messages = (scene.fleet.notices - notices) as f64 / 13.0;
             println!(
-                "{daemons} daemons, {value}/s: {most} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages a second"
+                "{daemons} daemons, {value}/s: {max_in_window} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages/s"
             );
         }
     }
--- a/shalehinge/tests/relay_support/upstreams.rs
+++ b/shalehinge/tests/relay_support/upstreams.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
+use shalehinge::core::advertised_limit::AdvertisedLimit;
 use shalehinge::core::daemon::TICK;
 use shalehinge::core::event::Event;
 use shalehinge::core::fingerprint::Fingerprint;
-use shalehinge::core::named_limit::NamedLimit;
 use shalehinge::core::router::request::{Attempt, AttemptEnd, RequestMeta, Target};
 use shalehinge::core::signal::{LeavingMark, RequestedCooldown, UpstreamSignal};
 use shalehinge::core::types::{Customer, GroupNumber, RequestId, Timestamp};
@@ -85,7 +85,7 @@
         if self.crashing.contains(&request) {
             self.crashes += 1;
             let end = AttemptEnd::Lost;
-            let event = Event::Ended {
+            let event = Event::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -93,7 +93,7 @@
             self.schedule(TICK, index, event);
             return;
         }
-        self.schedule(TICK, index, Event::Output { request, attempt });
+        self.schedule(TICK, index, Event::FirstOutput { request, attempt });
     }
 
     /// Runs an attempt that completes, with the upstream's limit and leaving mark in the head of
@@ -111,11 +111,11 @@
             return;
         }
         let limit = self.limits.get(&group).copied();
-        let limit = limit.map_or(NamedLimit::None, NamedLimit::Rate);
+        let limit = limit.map_or(AdvertisedLimit::None, AdvertisedLimit::Rate);
         let signal = UpstreamSignal {
             limit,
             leaving: self.leaving_mark(group),
-            ..UpstreamSignal::silent(200)
+            ..UpstreamSignal::status_only(200)
         };
         let named = Event::Signal {
             request,
@@ -123,9 +123,9 @@
             signal,
         };
         self.schedule(TICK, index, named);
-        self.schedule(TICK, index, Event::Output { request, attempt });
+        self.schedule(TICK, index, Event::FirstOutput { request, attempt });
         let end = AttemptEnd::Completed { output_tokens: 20 };
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             request,
             attempt,
             end,
@@ -160,7 +160,7 @@
         let signal = UpstreamSignal {
             cooldown: RequestedCooldown::For(cooldown),
             leaving: self.leaving_mark(group),
-            ..UpstreamSignal::silent(503)
+            ..UpstreamSignal::status_only(503)
         };
         let head = Event::Signal {
             request,
@@ -168,7 +168,7 @@
             signal,
         };
         self.schedule(TICK, daemon, head);
-        let ended = Event::Ended {
+        let ended = Event::AttemptEnded {
             request,
             attempt,
             end: AttemptEnd::Refused,
--- a/shalehinge/tests/routable.rs
+++ b/shalehinge/tests/routable.rs
@@ -1,5 +1,5 @@
-//! A daemon that hears of hosts from peers knows of each what routing needs, whatever it
-//! missed, as a list kept beside shows.
+//! Daemons that receive the host list from peers end up with exactly its routable part, whichever
+//! updates they missed. The expected list is tracked alongside.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
     HostId::new(&format!("h{number}"))
 }
 
-/// A host in any state: an instance of a plain service, or a member of some group.
-fn any_record(number: u16, rng: &mut StdRng) -> HostRecord {
+/// A host in a random state: an instance of a plain service, or a member of a random group.
+fn random_record(number: u16, rng: &mut StdRng) -> HostRecord {
     let phase = PHASES[rng.random_range(0..PHASES.len())];
     let status = EngineStatus {
         host: host(number),
@@ -69,7 +69,8 @@
     }
 }
 
-/// One daemon that reads, one that asks it, and one that asks that one.
+/// A daemon that reads the list, a second one that asks the first, and a third one that asks the
+/// second.
 struct Chain {
     rng: StdRng,
     version: u64,
@@ -107,7 +108,7 @@
             self.hosts.remove(&host(number));
             changes.removed = BTreeSet::from([host(number)]);
         } else {
-            let record = any_record(number, &mut self.rng);
+            let record = random_record(number, &mut self.rng);
             self.hosts.insert(host(number), record.clone());
             changes.changed.insert(host(number), record);
         }
@@ -115,16 +116,17 @@
         self.states[0].apply(update(self.version, changes));
     }
 
-    fn ask(&mut self, asker: usize) {
-        let digest = self.states[asker].digest();
-        if let Some(news) = self.states[asker - 1].routable_hosts_after(&digest) {
-            self.states[asker].apply(news);
+    fn pull(&mut self, requester: usize) {
+        let digest = self.states[requester].digest();
+        if let Some(update_for_requester) = self.states[requester - 1].routable_hosts_after(&digest)
+        {
+            self.states[requester].apply(update_for_requester);
         }
     }
 
-    /// The reader stops reading, hears nothing for a while, and lists anew.
-    fn stop_and_list(&mut self) {
-        self.states[0].forget_other_hosts();
+    /// The reading daemon stops reading, misses updates, and lists again.
+    fn stop_reading_and_list(&mut self) {
+        self.states[0].discard_unroutable_hosts();
         self.version += 1;
         self.list();
     }
@@ -133,7 +135,7 @@
         let hosts = self.hosts.clone();
         let expected = routable_hosts(&HostList { hosts });
         for state in &self.states[1..] {
-            let known = state.hosts().expect("known");
+            let known = state.hosts().expect("host list is known");
             assert_eq!(
                 (known.version.number, &known.value),
                 (self.version, &expected)
@@ -148,36 +150,36 @@
     for _ in 0..STEPS {
         match chain.rng.random_range(0..100) {
             0..70 => chain.change(),
-            70..84 => chain.ask(1),
-            84..98 => chain.ask(2),
-            98 => chain.stop_and_list(),
+            70..84 => chain.pull(1),
+            84..98 => chain.pull(2),
+            98 => chain.stop_reading_and_list(),
             _ => chain.states[2] = FleetState::new(HostDetail::Routable),
         }
     }
-    chain.ask(1);
-    chain.ask(2);
+    chain.pull(1);
+    chain.pull(2);
     chain.check();
 }
 
 #[test]
-fn what_peers_tell_adds_up_to_the_routable_part_of_the_list() {
+fn updates_from_peers_add_up_to_the_routable_part_of_the_list() {
     for seed in 0..300 {
         run(seed);
     }
 }
 
 #[test]
-fn who_asks_after_more_changes_than_are_remembered_is_told_all() {
+fn a_peer_that_missed_more_changes_than_the_log_holds_gets_the_whole_part() {
     let mut chain = Chain::new(1);
-    chain.ask(1);
+    chain.pull(1);
     for number in 0..HOSTS {
         chain.change_host(number);
     }
-    // Only one host changes again, so that the others' changes are no longer remembered.
+    // Only one host changes from here on, so that the changes of the others drop out of the log.
     for _ in 0..1_000 {
         chain.change_host(0);
     }
-    chain.ask(1);
-    chain.ask(2);
+    chain.pull(1);
+    chain.pull(2);
     chain.check();
 }
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -1,4 +1,4 @@
-//! A router with a few replicas, for tests that read as examples.
+//! A router with a few replicas, driven step by step.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use shalehinge::core::engine::{EngineLoad, EnginePhase, EngineStatus};
 use shalehinge::core::fingerprint::Fingerprint;
-use shalehinge::core::router::quarantine::{Completion, QuarantineNews};
+use shalehinge::core::router::quarantine::{Completion, QuarantineUpdate};
 use shalehinge::core::router::request::{
     Attempt, AttemptEnd, Outcome, RequestMeta, Target, UpstreamId,
 };
@@ -25,11 +25,11 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// What a test says of a request.
+/// Builds a request.
 #[derive(Clone)]
 pub struct RequestBuilder(RequestMeta, Option<Fingerprint>);
 
-/// A request that may not be repeated, with a minute to run.
+/// A request that must not be repeated, with a deadline 60 s after it is submitted.
 pub fn request() -> RequestBuilder {
     RequestBuilder(
         RequestMeta {
@@ -58,19 +58,19 @@
         self
     }
 
-    /// It came with a key that may be taken away.
+    /// It carries an API key that can be revoked.
     pub fn with_key(mut self) -> Self {
         self.0.credential = Some("a-hash".into());
         self
     }
 
-    /// It asks the same as this request.
-    pub fn that_asks_as(mut self, number: u64) -> Self {
+    /// It has the given fingerprint instead of one equal to its number.
+    pub fn with_fingerprint(mut self, number: u64) -> Self {
         self.1 = Some(Fingerprint(number));
         self
     }
 
-    pub fn of(mut self, customer: &str) -> Self {
+    pub fn with_customer(mut self, customer: &str) -> Self {
         self.0.customer = Customer::new(customer);
         self
     }
@@ -91,12 +91,12 @@
     pub upstreams_crash: bool,
     /// Whether trials are granted, each at the first candidate.
     pub grants_trials: bool,
-    /// Whether looks at upstreams get no answer yet.
-    pub holds_back_looks: bool,
+    /// Whether checks of upstreams remain unanswered.
+    pub defers_checks: bool,
 }
 
 impl Harness {
-    /// A router that has seen all its replicas complete and idle.
+    /// Creates a router that has received reports of all its replicas as complete and idle.
     pub fn with_replicas(replicas: u64) -> Self {
         let settings = RouterSettings::default();
         let mut harness = Self {
@@ -108,7 +108,7 @@
             answers: BTreeMap::new(),
             upstreams_crash: false,
             grants_trials: true,
-            holds_back_looks: false,
+            defers_checks: false,
         };
         let specs = (0..replicas).map(spec).collect();
         harness
@@ -118,48 +118,48 @@
         harness
     }
 
-    /// Time passes, with reports of idle, complete replicas.
+    /// Advances time, with reports of complete, idle replicas.
     pub fn advance(&mut self, time: Duration) {
-        self.pass(time, true);
+        self.advance_time(time, true);
     }
 
     pub fn advance_without_reports(&mut self, time: Duration) {
-        self.pass(time, false);
+        self.advance_time(time, false);
     }
 
-    /// Only so many replicas are left in the topology.
-    pub fn keep(&mut self, replicas: u64) {
+    /// Reduces the topology to the first `replicas` replicas.
+    pub fn keep_replicas(&mut self, replicas: u64) {
         self.replicas = replicas;
         let specs = (0..replicas).map(spec).collect();
         self.router
             .set_topology(Topology::from([(target(), specs)]));
     }
 
-    /// No replica is complete any more.
-    pub fn lose_all(&mut self) {
+    /// Fails a report of every replica, so that none counts as complete.
+    pub fn fail_all_reports(&mut self) {
         for number in 0..self.replicas {
             let mut out = Vec::new();
             let id = spec(number).id;
             let now = self.now;
             self.router
                 .on_report(now, now, &id, None, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle(out);
         }
         self.replicas = 0;
     }
 
-    /// A replica says that it is complete, by a look at its members of that age.
-    pub fn report_with_age(&mut self, number: u64, age: Duration) {
+    /// Reports a replica as complete, based on a member check of this age.
+    pub fn report_with_check_age(&mut self, number: u64, age: Duration) {
         let mut status = idle(number);
         status.members_age_ms = age.as_millis() as u64;
         let (id, now) = (spec(number).id, self.now);
         let mut out = Vec::new();
         self.router
             .on_report(now, now, &id, Some(&status), &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    fn pass(&mut self, time: Duration, with_reports: bool) {
+    fn advance_time(&mut self, time: Duration, with_reports: bool) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + STEP;
@@ -174,11 +174,11 @@
                 }
             }
             self.router.tick(self.now, &mut self.rng, &mut out);
-            self.take(out);
+            self.handle(out);
         }
     }
 
-    /// Submits a request; says where it went, if it went anywhere at once.
+    /// Submits a request. Returns the upstream of its first attempt if it was sent immediately.
     pub fn submit(&mut self, number: u64, request: RequestBuilder) -> Option<UpstreamId> {
         let mut meta = request.0;
         meta.deadline = self.now + Duration::from_secs(60);
@@ -187,11 +187,11 @@
         let id = RequestId(number);
         self.router
             .submit(self.now, id, meta, 1, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
         self.upstream_of(number)
     }
 
-    /// Sends requests until one has to wait.
+    /// Submits requests until one is not sent immediately.
     pub fn fill(&mut self) {
         let mut number = 1_000;
         while self.submit(number, request()).is_some() {
@@ -199,12 +199,12 @@
         }
     }
 
-    /// The last attempt of a request ends, if one runs.
+    /// Ends the last attempt of a request, if there is one.
     pub fn end(&mut self, number: u64, end: AttemptEnd) {
         self.end_with_attempt_of(number, number, end);
     }
 
-    /// A request is told of the end of another one's attempt.
+    /// Reports the end of the last attempt of `other` as the end of an attempt of `number`.
     pub fn end_with_attempt_of(&mut self, number: u64, other: u64, end: AttemptEnd) {
         let Some(attempt) = self.sent.get(&other).and_then(|sent| sent.last()) else {
             return;
@@ -213,39 +213,39 @@
         let (id, attempt) = (RequestId(number), attempt.id);
         self.router
             .on_ended(self.now, id, attempt, end, &mut self.rng, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    /// Another daemon had a whole answer to what this asks.
-    pub fn learn_completion(&mut self, asks: u64) {
+    /// Reports that another daemon received a complete answer to a request with this fingerprint.
+    pub fn report_remote_completion(&mut self, fingerprint: u64) {
         let completion = Completion {
-            fingerprint: Fingerprint(asks),
+            fingerprint: Fingerprint(fingerprint),
             at: self.now,
         };
-        let news = QuarantineNews {
+        let update = QuarantineUpdate {
             completions: vec![completion],
-            ..QuarantineNews::default()
+            ..QuarantineUpdate::default()
         };
         let mut out = Vec::new();
-        self.router.learn_quarantine(news, &mut out);
-        self.take(out);
+        self.router.apply_quarantine_update(update, &mut out);
+        self.handle(out);
     }
 
-    /// The caller of a request leaves.
-    pub fn leave(&mut self, number: u64) {
+    /// Cancels a request, as its caller left.
+    pub fn cancel(&mut self, number: u64) {
         let mut out = Vec::new();
         self.router.cancel(RequestId(number), &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    /// Nobody holds any key any more.
-    pub fn take_keys_away(&mut self) {
+    /// Revokes all API keys.
+    pub fn revoke_keys(&mut self) {
         let mut out = Vec::new();
         self.router.recheck_keys(|_| false, &mut out);
-        self.take(out);
+        self.handle(out);
     }
 
-    /// Upstreams that are out of use for their failures.
+    /// Upstreams that are ejected now.
     pub fn ejected(&self) -> Vec<UpstreamId> {
         let upstreams = self.router.upstreams();
         upstreams
@@ -267,7 +267,7 @@
         self.answers.get(&number).copied()
     }
 
-    fn take(&mut self, actions: Vec<RouterAction>) {
+    fn handle(&mut self, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => {
@@ -277,7 +277,7 @@
                 RouterAction::Answer { request, outcome } => {
                     self.answers.insert(request.0, outcome);
                 }
-                RouterAction::CheckUpstream { .. } if self.holds_back_looks => {}
+                RouterAction::CheckUpstream { .. } if self.defers_checks => {}
                 RouterAction::CheckUpstream { upstream, .. } => {
                     let mut out = Vec::new();
                     let is_gone = self.upstreams_crash;
@@ -289,22 +289,22 @@
                         &mut self.rng,
                         &mut out,
                     );
-                    self.take(out);
+                    self.handle(out);
                 }
-                RouterAction::AskTrial(question) if self.grants_trials => {
+                RouterAction::RequestTrial(trial_request) if self.grants_trials => {
                     let grant = TrialGrant {
-                        fingerprint: question.fingerprint,
-                        upstream: question.candidates[0].clone(),
+                        fingerprint: trial_request.fingerprint,
+                        upstream: trial_request.candidates[0].clone(),
                     };
                     let mut out = Vec::new();
                     self.router
                         .on_trial(self.now, &grant, &mut self.rng, &mut out);
-                    self.take(out);
+                    self.handle(out);
                 }
                 RouterAction::Abandon(_)
-                | RouterAction::AskTrial(_)
-                | RouterAction::TellLimit(_)
-                | RouterAction::AskPermits { .. }
+                | RouterAction::RequestTrial(_)
+                | RouterAction::ReportLimit(_)
+                | RouterAction::RequestPermits { .. }
                 | RouterAction::Log(_) => {}
             }
         }
