--- a/shalehinge/src/bin/shalehinge.rs
+++ b/shalehinge/src/bin/shalehinge.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! The operators' command-line client.
 
 use std::process;
 
--- a/shalehinge/src/bin/shalehinged.rs
+++ b/shalehinge/src/bin/shalehinged.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry host.
+//! The daemon that runs on an entry host.
 
 use std::path::PathBuf;
 
@@ -8,14 +8,14 @@
 use shalehinge::settings::Settings;
 use shalehinge::telemetry::logs;
 
-/// Serves models whose replicas span several hosts.
+/// Route requests to model replicas that span several hosts, and place these on hosts.
 #[derive(FromArgs)]
 struct Arguments {
-    /// settings file in INI; docs/example.ini explains every key
+    /// settings file in INI format; docs/example.ini documents every key
     #[argh(positional)]
     settings: PathBuf,
 
-    /// check the settings file and end
+    /// validate the settings file and exit
     #[argh(switch)]
     check: bool,
 }
@@ -24,7 +24,7 @@
     let arguments: Arguments = argh::from_env();
     let settings = Settings::load(&arguments.settings)?;
     if arguments.check {
-        println!("{} is in order", arguments.settings.display());
+        println!("{} is valid", arguments.settings.display());
         return Ok(());
     }
     let daemon = &settings.daemon;
--- a/shalehinge/src/cli/arguments.rs
+++ b/shalehinge/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of the operators' client.
+//! Command-line arguments of the operators' client.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,165 +13,165 @@
     PathBuf::from("operator.token")
 }
 
-/// States what a fleet should serve, shows what would happen, and confirms it.
+/// Plan changes to what a fleet serves, review their effects, and confirm them.
 #[derive(FromArgs, Debug)]
 pub struct Arguments {
-    /// address where a daemon listens to operators
+    /// address on which a daemon listens for operators, 127.0.0.1:7001 by default
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 7001))")]
     pub daemon: SocketAddr,
 
-    /// file with the operators' token, operator.token by default
+    /// file that contains the operators' token, operator.token by default
     #[argh(option, default = "default_token()")]
     pub token_file: PathBuf,
 
-    /// print JSON
+    /// print output as JSON
     #[argh(switch)]
     pub json: bool,
 
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The commands of the operators' client.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum Command {
-    /// Serve a model.
+    /// Plan to serve a model.
     Intent(IntentCommand),
-    /// Serve a model no longer.
+    /// Plan to stop serving a model.
     Remove(RemoveCommand),
-    /// Change a customer's share.
+    /// Plan to change a customer's share.
     Shares(SharesCommand),
-    /// Bring a model to a version.
+    /// Plan to roll a model to a version.
     Roll(RollCommand),
-    /// Take a host out of use.
+    /// Plan to drain a host, or to undo that.
     Drain(DrainCommand),
-    /// Replace customers, services and weights.
+    /// Plan to replace customers, services and weights.
     Configure(ConfigureCommand),
-    /// Plan a change written as JSON.
+    /// Plan a change read from a JSON file.
     Plan(PlanCommand),
     /// Confirm a plan.
     Confirm(ConfirmCommand),
-    /// Show the fleet.
+    /// Show the status of the fleet.
     Status(StatusCommand),
 }
 
-/// plan to serve a model with so many replicas
+/// plan to serve a model with a number of replicas
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "intent")]
 pub struct IntentCommand {
-    /// model
+    /// name of the model
     #[argh(option)]
     pub model: String,
 
-    /// version in the weight store
+    /// version of the model in the weight store
     #[argh(option)]
     pub version: String,
 
-    /// replicas over all failure domains
+    /// total number of replicas in all failure domains
     #[argh(option)]
     pub replicas: u32,
 
-    /// hosts that form one replica
+    /// number of hosts per replica
     #[argh(option)]
     pub hosts_per_replica: u32,
 
-    /// customer whose share the hosts count against
+    /// customer whose share the hosts are charged to
     #[argh(option)]
     pub owner: String,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan to serve a model no longer
+/// plan to stop serving a model
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "remove")]
 pub struct RemoveCommand {
-    /// model
+    /// name of the model
     #[argh(option)]
     pub model: String,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan to give a customer another share
+/// plan to change a customer's share
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "shares")]
 pub struct SharesCommand {
-    /// customer
+    /// name of the customer
     #[argh(option)]
     pub customer: String,
 
-    /// weight against the others, from 1
+    /// weight relative to other customers, at least 1
     #[argh(option)]
     pub share: u32,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan to bring all replicas of a model to a version
+/// plan to roll all replicas of a model to a version
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "roll")]
 pub struct RollCommand {
-    /// model
+    /// name of the model
     #[argh(option)]
     pub model: String,
 
-    /// version in the weight store
+    /// version of the model in the weight store
     #[argh(option)]
     pub version: String,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan to take a host out of use
+/// plan to drain a host
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainCommand {
-    /// host
+    /// name of the host
     #[argh(option)]
     pub host: String,
 
-    /// take it into use again
+    /// undo an earlier drain
     #[argh(switch)]
     pub undo: bool,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan to replace customers, services and weights by those of a file
+/// plan to replace customers, services and weights with those in a file
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "configure")]
 pub struct ConfigureCommand {
-    /// file in JSON, as in docs/CONFIGURATION.md
+    /// JSON file, as described in docs/CONFIGURATION.md
     #[argh(positional)]
     pub file: PathBuf,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
 
-/// plan a change written as JSON
+/// plan a change read from a JSON file
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "plan")]
 pub struct PlanCommand {
-    /// file with the change, as in docs/INTERFACES.md
+    /// JSON file with the change, as described in docs/INTERFACES.md
     #[argh(positional)]
     pub change: PathBuf,
 
-    /// file for the plan
+    /// file to save the plan to, plan.json by default
     #[argh(option, default = "default_plan()")]
     pub save: PathBuf,
 }
@@ -180,12 +180,12 @@
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "confirm")]
 pub struct ConfirmCommand {
-    /// file with the plan
+    /// file that contains the plan, plan.json by default
     #[argh(positional, default = "default_plan()")]
     pub plan: PathBuf,
 }
 
-/// show the fleet
+/// show the status of the fleet
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusCommand {}
--- a/shalehinge/src/cli/client.rs
+++ b/shalehinge/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the operators' client to a daemon.
+//! HTTP client for a daemon's operator API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,35 +13,37 @@
 use crate::utils::http::{is_not_connected, pooled_client, url};
 use crate::utils::time::within;
 
-/// Time for one call; a confirm may read back for ten seconds.
+/// Timeout of a call. A confirm may take ten seconds, as the daemon reads back what it wrote.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a call has no answer. Each says what to do.
+/// Why a call failed. Each message suggests what to do.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection.
-    #[error("no daemon listens to operators on {0}; name one with --daemon")]
+    /// The connection could not be established.
+    #[error("no daemon is listening for operators on {0}; specify its address with --daemon")]
     Unreachable(SocketAddr),
-    /// Connected, but no answer came.
-    #[error("the daemon on {0} did not answer; if this was a confirm, give it again")]
+    /// No complete response arrived in time; the call may have taken effect.
+    #[error("the daemon on {0} did not respond; if this was a confirm, repeat it")]
     NoAnswer(SocketAddr),
-    /// The token is wrong.
-    #[error("the daemon does not accept the token; name its file with --token-file")]
+    /// The daemon rejected the token.
+    #[error("the daemon rejected the token; specify the token file with --token-file")]
     Unauthorized,
-    /// The daemon refused the call.
-    #[error("the daemon refused the call with status {status}: {text}")]
+    /// The daemon responded with an error status.
+    #[error("the daemon rejected the call with status {status}: {text}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// What it said.
+        /// Response body, trimmed.
         text: String,
     },
-    /// The answer can't be read.
-    #[error("the daemon's answer can't be read; is the client of the same version?")]
+    /// The response could not be parsed.
+    #[error(
+        "failed to parse the daemon's response; check that client and daemon have the same version"
+    )]
     Unreadable,
 }
 
-/// A client of one daemon.
+/// Client of one daemon's operator API.
 #[derive(Clone, Debug)]
 pub struct OperatorClient {
     client: Client,
@@ -50,7 +52,7 @@
 }
 
 impl OperatorClient {
-    /// A client with a token.
+    /// Creates a client for the daemon at this address that authenticates with `token`.
     pub fn new(daemon: SocketAddr, token: String) -> Self {
         Self {
             client: pooled_client(),
@@ -59,17 +61,30 @@
         }
     }
 
-    /// What would happen.
+    /// Plans a change: returns its effects without applying it.
+    ///
+    /// # Errors
+    ///
+    /// The call failed; nothing changed.
     pub async fn plan(&self, change: &Change) -> Result<OperatorAnswer, CallError> {
         self.post(PLAN_PATH, change).await
     }
 
-    /// Do it.
+    /// Confirms a plan, so that the change is applied.
+    ///
+    /// # Errors
+    ///
+    /// The call failed. With [`CallError::NoAnswer`] or [`CallError::Unreadable`], the change may
+    /// have been applied; it is safe to confirm again.
     pub async fn confirm(&self, confirm: &Confirm) -> Result<OperatorAnswer, CallError> {
         self.post(CONFIRM_PATH, confirm).await
     }
 
-    /// The fleet as the daemon sees it.
+    /// Returns the status of the fleet, as known to the daemon.
+    ///
+    /// # Errors
+    ///
+    /// The call failed.
     pub async fn status(&self) -> Result<FleetStatus, CallError> {
         let conn = self.client.get(url(self.daemon, STATUS_PATH));
         self.exchange(conn).await
--- a/shalehinge/src/cli/mod.rs
+++ b/shalehinge/src/cli/mod.rs
@@ -1,10 +1,10 @@
-//! The operators' client: states a change, shows its plan, confirms it.
+//! The operators' client: plans a change, shows the plan, and confirms it.
 //!
-//! Nothing changes until `confirm`. Exit codes mean something: see [`ExitCode`].
+//! Nothing changes until `confirm`. The exit code gives the result: see [`ExitCode`].
 //!
-//! - `arguments`: the command line
-//! - `client`: calls to a daemon
-//! - `render`: plans and status as text
+//! - `arguments`: command-line arguments
+//! - `client`: HTTP client for a daemon's operator API
+//! - `render`: renders plans and status as text
 
 pub mod arguments;
 pub mod client;
@@ -19,31 +19,31 @@
 use crate::core::operator::{Confirm, OperatorAnswer, Plan};
 use crate::core::types::{Customer, HostId, ModelName, ModelVersion, OperationId};
 
-/// What the exit code of the client says.
+/// Exit code of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// Done as asked.
+    /// The command succeeded.
     Done = 0,
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid, or the daemon rejected the call.
     Usage = 1,
-    /// The change makes no sense; nothing changed.
+    /// The change is invalid; nothing changed.
     Refused = 2,
     /// The plan is out of date; nothing changed.
     OutOfDate = 3,
-    /// The daemon or the platform does not answer; nothing changed.
+    /// The daemon or the platform is not available; nothing changed.
     Unavailable = 4,
-    /// It is not known whether the change was accepted; confirm again.
+    /// It is unknown whether the change was accepted; confirm again.
     Unclear = 5,
-    /// The token is not accepted.
+    /// The daemon rejected the token.
     Unauthorized = 6,
 }
 
-/// What a command came to: the text to print, and the exit code.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandResult {
-    /// Text for the standard output, or the standard error if it failed.
+    /// Text for standard output, or for standard error if the command failed.
     pub text: String,
-    /// The exit code.
+    /// Exit code of the process.
     pub code: ExitCode,
 }
 
@@ -83,13 +83,13 @@
     let text = fs::read_to_string(path).map_err(|error| {
         let path = path.display();
         CommandResult::usage(format!(
-            "the token file {path} can't be read: {error}; name one with --token-file"
+            "failed to read token file {path}: {error}; specify it with --token-file"
         ))
     })?;
     Ok(text.trim().to_owned())
 }
 
-/// The change that a command asks for, and where its plan is saved.
+/// Returns the change that a command requests, and the path to save its plan to.
 fn change_of(command: Command) -> Result<(Change, std::path::PathBuf), CommandResult> {
     Ok(match command {
         Command::Intent(intent) => {
@@ -135,25 +135,32 @@
             (change, configure.save)
         }
         Command::Plan(plan) => {
-            let change = read_json(&plan.change, "a change, as in docs/INTERFACES.md")?;
+            let change = read_json(&plan.change, "a change as described in docs/INTERFACES.md")?;
             (change, plan.save)
         }
         Command::Status(_) | Command::Confirm(_) => {
-            return Err(CommandResult::usage("this command states no change"));
+            return Err(CommandResult::usage(
+                "this command does not request a change",
+            ));
         }
     })
 }
 
 fn read_configuration(path: &Path) -> Result<Configuration, CommandResult> {
-    read_json(path, "a configuration, as in docs/CONFIGURATION.md")
+    read_json(
+        path,
+        "a configuration as described in docs/CONFIGURATION.md",
+    )
 }
 
 fn read_json<T: serde::de::DeserializeOwned>(path: &Path, what: &str) -> Result<T, CommandResult> {
     let shown = path.display();
     let text = fs::read_to_string(path)
-        .map_err(|error| CommandResult::usage(format!("{shown} can't be read: {error}")))?;
+        .map_err(|error| CommandResult::usage(format!("failed to read {shown}: {error}")))?;
     serde_json::from_str(&text).map_err(|error| {
-        CommandResult::usage(format!("{shown} is not {what}: {error}; mend that place"))
+        CommandResult::usage(format!(
+            "{shown} is not {what}: {error}; correct the file there"
+        ))
     })
 }
 
@@ -175,7 +182,7 @@
     fs::write(path, text).map_err(|error| {
         let path = path.display();
         CommandResult::usage(format!(
-            "the plan can't be saved to {path}: {error}; name another file with --save"
+            "failed to save the plan to {path}: {error}; specify another file with --save"
         ))
     })
 }
@@ -197,7 +204,8 @@
     }
 }
 
-/// The same for each confirm of one plan, so that a repeated one is recognised.
+/// Derives the operation ID from the digest of the plan, so that the daemon recognizes a repeated
+/// confirm of the same plan.
 fn operation_of(plan: &Plan) -> OperationId {
     const DIGITS: usize = 16;
     let digits = plan.digest.get(..DIGITS).unwrap_or_default();
--- a/shalehinge/src/cli/render.rs
+++ b/shalehinge/src/cli/render.rs
@@ -1,4 +1,4 @@
-//! Plans and status as text.
+//! Renders plans and status as text.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use crate::core::operator::{OperatorAnswer, Plan};
 use crate::operator_api::{DomainStatus, FleetStatus};
 
-/// An answer as text; a plan says where it was saved.
+/// Renders the answer to a plan or confirm. `saved` is the path that a plan was saved to.
 pub fn answer(answer: &OperatorAnswer, saved: Option<&Path>) -> String {
     match answer {
         OperatorAnswer::Planned(plan) => {
@@ -14,13 +14,13 @@
             if let Some(path) = saved {
                 let path = path.display();
                 text.push_str(&format!(
-                    "Nothing has changed. To do this: shalehinge confirm {path}\n"
+                    "Nothing has changed. To apply this plan: shalehinge confirm {path}\n"
                 ));
             }
             text
         }
         OperatorAnswer::Confirmed { version } => format!(
-            "Accepted as version {}. It is stored, and in force everywhere within seconds.\n",
+            "Accepted as version {}. The change is stored and takes effect everywhere within seconds.\n",
             version
         ),
         OperatorAnswer::OutOfDate { version, plan } => {
@@ -29,23 +29,23 @@
                 version
             );
             if let Some(plan) = plan {
-                text.push_str("Plan again. It would now be:\n");
+                text.push_str("Plan again. The plan would now be:\n");
                 text.push_str(&self::plan(plan));
             }
             text
         }
         OperatorAnswer::Refused(error) => format!("Nothing has changed: {error}.\n"),
         OperatorAnswer::PlatformUnavailable => {
-            "Nothing has changed: the platform does not answer. Try again later.\n".to_owned()
+            "Nothing has changed: the platform is not responding. Try again later.\n".to_owned()
         }
         OperatorAnswer::Unclear => {
-            "It is not known whether the plan was accepted. Confirm it again: it takes effect once at most.\n"
+            "It is unknown whether the plan was accepted. Confirm it again: it takes effect at most once.\n"
                 .to_owned()
         }
     }
 }
 
-/// A plan as text.
+/// Renders a plan with its effects in each failure domain.
 pub fn plan(plan: &Plan) -> String {
     let mut text = format!("Plan on version {} of the fleet\n", plan.base);
     for (domain, effects) in &plan.effects {
@@ -62,22 +62,26 @@
         ));
         for (model, missing) in &effects.missing {
             text.push_str(&format!(
-                "  {missing} replicas of {model} will be missing, as no complete group can be formed\n"
+                "  {missing} replicas of {model} will be missing, because no complete group can be formed\n"
             ));
         }
     }
     text
 }
 
-/// The status as text.
+/// Renders the status of the fleet.
 pub fn status(status: &FleetStatus) -> String {
     let mut text = format!(
-        "Fleet at version {}, seen by {}\n",
+        "Fleet at version {}, as known to {}\n",
         status.version, status.daemon
     );
     text.push_str("Daemons (configuration in force):\n");
     for daemon in &status.daemons {
-        let leaving = if daemon.leaving { ", stopping" } else { "" };
+        let leaving = if daemon.leaving {
+            ", shutting down"
+        } else {
+            ""
+        };
         text.push_str(&format!(
             "  {} in {}: version {}{leaving}\n",
             daemon.daemon, daemon.failure_domain, daemon.version
@@ -86,7 +90,7 @@
     text.push_str("Models:\n");
     for model in &status.models {
         text.push_str(&format!(
-            "  {} {}: {} wanted, {} serving, {} that this daemon may send to\n",
+            "  {} {}: {} wanted, {} serving, {} eligible at this daemon\n",
             model.model, model.version, model.wanted, model.serving, model.eligible_here
         ));
     }
@@ -104,7 +108,7 @@
 
 fn domain_status(name: &str, domain: &DomainStatus) -> String {
     let holder = domain.holder.as_ref();
-    let holder = holder.map_or("not known here".to_owned(), ToString::to_string);
+    let holder = holder.map_or("unknown to this daemon".to_owned(), ToString::to_string);
     let mut text = format!(
         "{name}: {} hosts, {} free, {} accelerators stranded, control: {holder}\n",
         domain.hosts, domain.free_hosts, domain.stranded_accelerators
@@ -130,7 +134,7 @@
         ));
     }
     for host in &domain.releasing {
-        text.push_str(&format!("  {host} has yet to release its group\n"));
+        text.push_str(&format!("  {host} has not yet released its group\n"));
     }
     text
 }
--- a/shalehinge/src/lib.rs
+++ b/shalehinge/src/lib.rs
@@ -1,14 +1,16 @@
-//! Serving of large models whose replicas span several hosts.
+//! Routes inference requests to model replicas that span several hosts, and places those
+//! replicas on hosts.
 //!
-//! - [`core`]: all decisions, without input or output
-//! - [`settings`]: what a daemon is told in its settings file
-//! - [`process`]: sockets, timers and tasks round the core
-//! - [`gateway`]: what callers see
-//! - [`operator_api`]: what operators see
-//! - [`cli`]: the operators' client
-//! - [`object_api`], [`upstream`], [`peer`]: clients and servers to the others
+//! - [`core`]: the decision logic, free of I/O
+//! - [`settings`]: the daemon's settings file: parsing, validation and defaults
+//! - [`process`]: sockets, timers and tasks that drive the core
+//! - [`gateway`]: the HTTP API for callers
+//! - [`operator_api`]: the HTTP API for operators
+//! - [`cli`]: the operators' command-line client
+//! - [`object_api`], [`upstream`], [`peer`]: clients and servers for the
+//!   platform, for engines and services, and for other daemons
 //! - [`telemetry`]: logs and metrics
-//! - [`utils`]: small helpers
+//! - [`utils`]: shared helpers
 
 pub mod cli;
 pub mod core;
--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -1,4 +1,4 @@
-//! The platform's object API by JSON over HTTP. See docs/INTERFACES.md.
+//! Client of the platform's object API, in JSON over HTTP. See docs/INTERFACES.md.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,41 +16,41 @@
 use crate::core::types::{FailureDomain, StoreEra, Version};
 use crate::utils::http::{AnswerLimits, pooled_client, url};
 
-/// Header of all answers: the era of the store.
+/// Response header that carries the store era; present on every response.
 pub const ERA: &str = "x-shalehinge-era";
-/// Kinds that are listed and watched.
+/// Comma-separated kinds of the objects that are listed and watched together.
 pub const SHARED_KINDS: &str = "config,hosts,assignments";
 
-/// An object as it is sent.
+/// An object in its wire format.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireObject {
-    /// Kind of the object.
+    /// Kind, such as `config` or `assignments`.
     pub kind: String,
-    /// Name within the kind.
+    /// Name, unique within the kind.
     pub name: String,
-    /// Version, from 1.
+    /// Version of the object, starting at 1.
     pub version: u64,
-    /// Value in JSON.
+    /// Value; its schema depends on the kind.
     pub value: Value,
 }
 
-/// Answer to a list or a watch.
+/// Response to a list or a watch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WireList {
-    /// Revision of the whole store.
+    /// Revision of the store as a whole.
     pub revision: u64,
-    /// Objects.
+    /// All objects for a list; the changed ones for a watch.
     pub objects: Vec<WireObject>,
 }
 
-/// Answer to a write, also to one that was refused.
+/// Response to a write, whether it was accepted or rejected.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct WireVersion {
-    /// Version that the object has now; 0 if it does not exist.
+    /// Current version of the object; 0 if it does not exist.
     pub version: u64,
 }
 
-/// Kind and name of an object.
+/// Returns the kind and name under which the API stores an object.
 pub fn kind_and_name(key: &ObjectKey) -> (&'static str, String) {
     match key {
         ObjectKey::Fleet => ("config", "fleet".into()),
@@ -61,7 +61,7 @@
     }
 }
 
-/// The key of an object, if it is one of ours.
+/// Returns the key for a kind and name, or `None` for an object that the daemon does not use.
 fn key_of(kind: &str, name: &str) -> Option<ObjectKey> {
     match (kind, name) {
         ("config", "fleet") => Some(ObjectKey::Fleet),
@@ -95,7 +95,7 @@
     }
 }
 
-/// A client of the object API.
+/// HTTP client of the object API.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     client: Client,
@@ -104,7 +104,8 @@
 }
 
 impl HttpPlatform {
-    /// A client for this address; each call is given up after `timeout`.
+    /// Creates a client for `address`. Calls time out after `timeout`; a watch after its own wait
+    /// plus `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client: pooled_client(),
@@ -118,7 +119,8 @@
         url(self.address, &format!("/v1/objects/{kind}/{name}"))
     }
 
-    /// Sends a call and reads the whole answer and its era.
+    /// Reads one object. A value that can't be decoded is reported as `Foreign` if daemons own the
+    /// object, so that it can be overwritten, and as no answer otherwise.
     async fn get(&self, key: ObjectKey) -> PlatformResult {
         let conn = self.client.get(self.object_url(&key));
         let limits = AnswerLimits::in_all(self.timeout);
@@ -192,7 +194,7 @@
                 let path = format!("/v1/objects?kinds={}", kinds_of(scope));
                 self.objects(path, self.timeout).await
             }
-            // This API knows exact watches only.
+            // This API has exact watches only, so a request for a stale one is served exactly.
             PlatformCall::Watch {
                 scope, after, wait, ..
             } => {
@@ -204,7 +206,7 @@
     }
 }
 
-/// The kinds of a scope, as the API names them.
+/// Returns the kinds in a scope, in the API's query syntax.
 fn kinds_of(scope: Scope) -> &'static str {
     match scope {
         Scope::Shared => SHARED_KINDS,
@@ -221,17 +223,17 @@
 
 fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, NoAnswer> {
     serde_json::from_slice(body).map_err(|error| {
-        log::warn!("platform: answer can't be read: {error}");
+        log::warn!("platform: failed to parse a response: {error}");
         NoAnswer
     })
 }
 
 fn unreadable(key: &ObjectKey) -> NoAnswer {
-    log::warn!("platform: the value of {key:?} can't be read");
+    log::warn!("platform: failed to decode the value of {key:?}");
     NoAnswer
 }
 
-/// An object that can't be read is passed over; the last good one stays in force.
+/// Decodes an object. One that can't be decoded is skipped, so the last valid one stays in force.
 fn update_of(era: StoreEra, wire: WireObject) -> Option<ObjectUpdate> {
     let key = key_of(&wire.kind, &wire.name)?;
     match decode(&key, wire.value) {
@@ -241,7 +243,7 @@
             object,
         }),
         Err(error) => {
-            log::warn!("platform: {key:?} can't be read and is passed over: {error}");
+            log::warn!("platform: skipped {key:?}, as its value can't be decoded: {error}");
             None
         }
     }
--- a/shalehinge/src/object_api/mod.rs
+++ b/shalehinge/src/object_api/mod.rs
@@ -1,7 +1,7 @@
-//! The platform as a daemon calls it. Another binding is one more file here.
+//! The platform's object API as the daemon calls it. Each protocol binding is a module here.
 //!
-//! - `http`: JSON over HTTP, as in docs/INTERFACES.md
-//! - `store_era`: the era of the store that an answer tells
+//! - `http`: JSON over HTTP, as specified in docs/INTERFACES.md
+//! - `store_era`: reads the store era from response headers
 
 pub mod http;
 pub mod store_era;
@@ -10,10 +10,16 @@
 
 use crate::core::platform::{PlatformCall, PlatformResult};
 
-/// Calls the platform. A call that is not answered in time is [`NoAnswer`].
+/// A client of the platform. A call that fails or times out results in [`NoAnswer`].
 ///
 /// [`NoAnswer`]: crate::core::platform::NoAnswer
 pub trait PlatformClient: Send + Sync {
-    /// Makes one call.
+    /// Makes one call and returns its result.
+    ///
+    /// # Errors
+    ///
+    /// [`NoAnswer`] if no valid response came in time; a write may have taken effect nevertheless.
+    ///
+    /// [`NoAnswer`]: crate::core::platform::NoAnswer
     fn call(&self, request: PlatformCall) -> Boxed<PlatformResult>;
 }
--- a/shalehinge/src/object_api/store_era.rs
+++ b/shalehinge/src/object_api/store_era.rs
@@ -1,4 +1,4 @@
-//! The era of the store that an answer tells in a header.
+//! Reads the store era from a response header.
 
 use trillium_client::Conn;
 use trillium_http::Headers;
@@ -7,11 +7,11 @@
 use crate::core::types::StoreEra;
 use crate::utils::http::{AnswerLimits, WholeAnswer, exchange_with_headers};
 
-/// Sends a call and reads its whole answer and the era that this header tells.
+/// Sends a request and reads the complete response and the store era in its header `header`.
 ///
 /// # Errors
 ///
-/// No whole answer came within the limits, or its era can't be read.
+/// [`NoAnswer`] if no complete response came within the limits, or its era is invalid.
 pub async fn exchange_in_era(
     conn: Conn,
     limits: AnswerLimits,
@@ -21,12 +21,12 @@
     Ok((reported_era(&answer.headers, header)?, answer))
 }
 
-/// Reads the era. An answer without the header is of a store that reports none.
+/// Parses the era header. Without the header, the store does not report eras.
 ///
 /// # Errors
 ///
-/// The header stands there more than once or is no decimal number of 32 bits, so that the answer
-/// can't be placed before or after any other.
+/// [`NoAnswer`] if the header is repeated or is not a decimal 32-bit number: the response could
+/// not be ordered relative to others.
 fn reported_era(headers: &Headers, name: &'static str) -> Result<StoreEra, NoAnswer> {
     let Some(values) = headers.get_values(name) else {
         return Ok(StoreEra::UNREPORTED);
@@ -37,7 +37,7 @@
         _ => None,
     };
     era.ok_or_else(|| {
-        log::warn!("platform: the era of an answer can't be read, it is passed over");
+        log::warn!("platform: ignored a response with an invalid store era");
         NoAnswer
     })
 }
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators and their client call: plans, confirms, status, metrics.
+//! The HTTP API for operators and their client: plan, confirm, status and metrics.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,97 +20,99 @@
 use crate::gateway::access::bearer_sha256;
 use crate::process::Driver;
 
-/// Path of plans.
+/// Path of the call that plans a change.
 pub const PLAN_PATH: &str = "/v1/plan";
-/// Path of confirms.
+/// Path of the call that confirms a plan.
 pub const CONFIRM_PATH: &str = "/v1/confirm";
-/// Path of the status.
+/// Path of the fleet status.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Bytes of an operator's call at most.
+/// Maximum size of an operator's request body, in bytes.
 const MAX_CALL: u64 = 1024 * 1024;
 
-/// The fleet as one daemon sees it.
+/// Status of the fleet, from the point of view of one daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The daemon that answers.
+    /// The daemon that responds.
     pub daemon: DaemonId,
-    /// Version of the configuration in force here.
+    /// Version of the configuration in force at the responding daemon.
     pub version: FleetVersion,
-    /// All live daemons that this one knows.
+    /// All live daemons that the responding daemon knows, including itself, sorted by name.
     pub daemons: Vec<DaemonStatus>,
-    /// Failure domains.
+    /// Failure domains in the platform's host list.
     pub domains: BTreeMap<FailureDomain, DomainStatus>,
-    /// Models.
+    /// Models in the configuration.
     pub models: Vec<ModelStatus>,
-    /// Shares of the customers.
+    /// Share of each customer, as a weight relative to the others.
     pub shares: BTreeMap<Customer, u32>,
-    /// Hosts being drained.
+    /// Hosts that the configuration drains.
     pub draining: Vec<HostId>,
 }
 
-/// A live daemon.
+/// Status of a live daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where it is.
+    /// Failure domain of the daemon.
     pub failure_domain: FailureDomain,
-    /// Version of the configuration in force there, as last heard.
+    /// Version of the configuration in force there, as last received by gossip.
     pub version: FleetVersion,
-    /// It is stopping.
+    /// Whether the daemon is shutting down.
     pub leaving: bool,
 }
 
-/// A failure domain.
+/// Status of a failure domain.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DomainStatus {
-    /// Hosts in the platform's list.
+    /// Number of hosts in the platform's host list.
     pub hosts: usize,
-    /// Hosts in no group.
+    /// Number of hosts that belong to no group.
     pub free_hosts: usize,
-    /// Idle accelerators around which no complete group can form.
+    /// Idle accelerators on hosts that can't form a complete group.
     pub stranded_accelerators: u32,
-    /// Who holds its control lease, where this daemon knows.
+    /// Holder of the control lease; known only for the responding daemon's own failure domain.
     pub holder: Option<DaemonId>,
-    /// Its groups.
+    /// Host groups of the failure domain.
     pub groups: Vec<GroupStatus>,
     /// Hosts that have yet to acknowledge their release.
     pub releasing: Vec<HostId>,
 }
 
-/// A host group.
+/// Status of a host group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// Its number.
+    /// Number of the group, unique within the failure domain.
     pub number: GroupNumber,
-    /// Model.
+    /// Model that the group serves.
     pub model: ModelName,
-    /// Version.
+    /// Version of the model.
     pub version: ModelVersion,
-    /// How far it is.
+    /// Phase of the group's life cycle.
     pub phase: GroupPhase,
-    /// Members by rank.
+    /// Member hosts, ordered by rank.
     pub hosts: Vec<HostId>,
-    /// Whether this daemon would send it requests; `None` if it is no candidate here.
+    /// Whether the responding daemon would route requests to the group; `None` if the group is not
+    /// among its candidates.
     pub in_routing: Option<bool>,
 }
 
-/// A model.
+/// Status of a model.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ModelStatus {
-    /// Its name.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version wanted.
+    /// Desired version.
     pub version: ModelVersion,
-    /// Replicas wanted.
+    /// Desired number of replicas.
     pub wanted: u32,
-    /// Replicas that serve, by the assignments.
+    /// Number of replicas in phase serving, according to the assignments.
     pub serving: u32,
-    /// Replicas that this daemon may send to now.
+    /// Number of replicas that the responding daemon may route requests to now.
     pub eligible_here: usize,
 }
 
-/// Handles operators.
+/// Builds the handler of the operator API. Plan, confirm and status require the bearer token whose
+/// SHA-256, in hexadecimal, is `token_sha256`; metrics are public.
 pub fn handler(driver: Arc<Driver>, token_sha256: String) -> impl Handler {
     let plans = Context {
         driver,
@@ -140,8 +142,8 @@
         })
 }
 
-/// Gauges of the platform's store: its era, if it tells one, and whether what was known of hosts in
-/// the era before still stands.
+/// Renders gauges of the platform's store: its era, if it reports one, and whether the daemon
+/// still keeps host records from the previous era.
 fn store_page(driver: &Driver) -> String {
     driver.read(|_, core| {
         let era = core.store_era().and_then(StoreEra::number);
@@ -152,9 +154,9 @@
     })
 }
 
-/// Gauges of what upstreams state about themselves, a line each, by what this daemon knows: the
-/// requests a second that one takes from all daemons together, the seconds left of a cooldown, and 1
-/// for one that is leaving.
+/// Renders gauges of the signals that upstreams send about themselves, one line each, as known to
+/// this daemon: the request rate per second that the upstream accepts from all daemons together,
+/// the remaining cooldown in seconds, and 1 for an upstream that is leaving.
 fn signals_page(driver: &Driver) -> String {
     driver.read(|now, core| {
         let router = core.router();
@@ -209,18 +211,22 @@
         }
         let body = conn.request_body().with_max_len(MAX_CALL);
         let Ok(body) = body.read_bytes().await else {
-            return refuse(conn, Status::BadRequest, "the body can't be read");
+            return refuse(conn, Status::BadRequest, "failed to read the request body");
         };
         let call = match parse(&body) {
             Ok(call) => call,
             Err(error) => {
-                let message = format!("the body can't be read: {error}");
+                let message = format!("invalid request body: {error}");
                 return refuse(conn, Status::BadRequest, &message);
             }
         };
         match self.driver.operate(call).await {
             Some(answer) => write_json(conn, &answer),
-            None => refuse(conn, Status::ServiceUnavailable, "the daemon is stopping"),
+            None => refuse(
+                conn,
+                Status::ServiceUnavailable,
+                "the daemon is shutting down",
+            ),
         }
     }
 
--- a/shalehinge/src/settings/claims.rs
+++ b/shalehinge/src/settings/claims.rs
@@ -1,4 +1,4 @@
-//! Settings of the claims of request keys.
+//! Settings for claims, which ensure that a request with an idempotency key runs at most once.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 /// Section `[claims]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// Objects over which the keys are divided; the same for the whole fleet, for ever.
+    /// Number of objects that keys are partitioned over. Must be the same for the whole fleet, and
+    /// must never change.
     pub partitions: u16,
-    /// Time between two writes of one partition by one daemon.
+    /// Minimum time between two writes of a partition by one daemon.
     pub write_interval: Duration,
-    /// How long a request waits for its claim before it is refused.
+    /// How long a request waits for its claim before it is rejected.
     pub timeout: Duration,
-    /// How long a key is remembered.
+    /// How long a key is kept.
     pub retention: Duration,
-    /// Keys that one partition holds at most.
+    /// Maximum number of keys in a partition.
     pub max_keys: usize,
 }
 
@@ -32,7 +33,7 @@
 }
 
 impl ClaimSettings {
-    /// Reads section `[claims]`.
+    /// Reads section `[claims]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("claims");
         let default = Self::default();
--- a/shalehinge/src/settings/control.rs
+++ b/shalehinge/src/settings/control.rs
@@ -1,4 +1,4 @@
-//! Settings of the control of a failure domain.
+//! Settings for the controller of a failure domain.
 
 use std::time::Duration;
 
@@ -6,54 +6,56 @@
 
 use crate::core::placement::host_choice::HostChoice;
 
-/// How the members of a group come together.
+/// How the members of a group are assembled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Assembly {
-    /// Rank 0 gathers the members and serves once all are ready.
+    /// Engines assemble the group themselves: rank 0 connects the members and serves once all are
+    /// ready.
     #[default]
     Engines,
-    /// Members join one by one, the host list tells how far they are, and rank 0
-    /// waits for the order to open.
+    /// The controller orders each member to join. The host list reports their progress, and rank 0
+    /// serves once it is ordered to open.
     Orders,
 }
 
 /// Section `[control]`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Time between two orders to the same host, and between two probes of a group
-    /// that looks incomplete.
+    /// Time between two orders to the same host, and between two probes of a group that appears
+    /// incomplete.
     pub order_interval: Duration,
-    /// Time between two probes of a group that looks complete.
+    /// Time between two probes of a group that appears complete.
     pub probe_interval: Duration,
-    /// How long a serving group must look incomplete before it is dissolved.
+    /// How long a serving group must appear incomplete before it is dissolved.
     pub loss_confirm: Duration,
-    /// How long a forming group may take, without any progress, before it is dissolved.
+    /// How long a forming group may go without progress before it is dissolved.
     pub forming_timeout: Duration,
-    /// Time between the mark that a group retires and the order to its engine.
+    /// Time between marking a group as retiring and ordering its engine to release it.
     pub retire_grace: Duration,
-    /// How long a host that did not answer is left out of new groups, where engines
-    /// report. Where they join by order, it stays out until it answers.
+    /// How long a host that did not respond is excluded from new groups with
+    /// [`Assembly::Engines`]. With [`Assembly::Orders`], it is excluded until it responds.
     pub avoid_unreachable: Duration,
-    /// Groups that may be forming at a time.
+    /// Maximum number of groups forming at the same time.
     pub max_forming: usize,
     /// How hosts are chosen for a new group.
     pub choice: HostChoice,
-    /// How the members of a group come together.
+    /// How the members of a group are assembled.
     pub assembly: Assembly,
-    /// How long rank 0 may stand still after the loss of a member before it is
-    /// surely broken.
+    /// How long rank 0 may make no progress after the loss of a member before it is considered
+    /// broken.
     pub stall: Duration,
-    /// Time between two heartbeats of a host at the platform, where the host list is kept
-    /// by heartbeats.
+    /// Time between two heartbeats of a host to the platform, if the platform maintains the host
+    /// list by heartbeats.
     pub host_heartbeat: Duration,
-    /// How long a group that retires may finish its requests, where it closes by order.
+    /// How long a retiring group may take to finish its requests with [`Assembly::Orders`].
     pub retire_within: Duration,
-    /// How long after its start, on the fleet's first start, a daemon may load as
-    /// many weights as it likes; until the first request.
+    /// How long after its start a daemon may load weights without rate limit on the fleet's first
+    /// start; ends early with the first request.
     pub free_loads_within: Duration,
-    /// Part of the allowed rate of loads that is used.
+    /// Fraction of the permitted weight-load rate that the controller uses.
     pub load_share: f64,
-    /// Part of the hosts that stays free where replicas follow from shares of work.
+    /// Fraction of the hosts that is kept free when replica counts are derived from shares of
+    /// work.
     pub spare_share: f64,
 }
 
@@ -80,7 +82,7 @@
 }
 
 impl ControlSettings {
-    /// Reads section `[control]`.
+    /// Reads section `[control]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("control");
         let default = Self::default();
--- a/shalehinge/src/settings/core.rs
+++ b/shalehinge/src/settings/core.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon's decisions, all parts together.
+//! Settings of the decision logic, combined.
 
 use super::claims::ClaimSettings;
 use super::control::ControlSettings;
@@ -8,7 +8,7 @@
 use super::reader::Reader;
 use super::router::RouterSettings;
 
-/// One struct a part.
+/// Settings of the decision logic, one member per section of the settings file.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoreSettings {
     /// Section `[learning]`.
@@ -26,7 +26,7 @@
 }
 
 impl CoreSettings {
-    /// Reads the sections of all parts.
+    /// Reads all sections of the decision logic; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         Self {
             learning: LearningSettings::read(reader),
--- a/shalehinge/src/settings/daemon.rs
+++ b/shalehinge/src/settings/daemon.rs
@@ -1,68 +1,68 @@
-//! Settings of the process: who it is, where it listens, its bounds.
+//! Settings of the daemon process: identity, listen addresses, limits, logs and metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::reader::Reader;
 
-/// Threads that run tasks, without another word.
+/// Default number of executor threads.
 const DEFAULT_THREADS: usize = 4;
 
 /// Sections `[daemon]`, `[listen]`, `[platform]`, `[operators]`, `[limits]`,
 /// `[log]` and `[metrics]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaemonSettings {
-    /// Name of the daemon, unique in the fleet.
+    /// Name of the daemon; must be unique in the fleet.
     pub name: String,
-    /// Its failure domain.
+    /// Failure domain of the entry host.
     pub failure_domain: String,
-    /// Peers that it asks first.
+    /// Peers that the daemon contacts first to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether this is the first start of the whole fleet.
     pub first_start: bool,
-    /// Threads that run tasks.
+    /// Number of executor threads.
     pub threads: usize,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the daemon is ready, if not with the callers.
+    /// Listen address for the load balancer's readiness checks, if separate from `callers`.
     pub ready: Option<SocketAddr>,
-    /// Where operators come in.
+    /// Listen address for operators.
     pub operators: SocketAddr,
-    /// Where peers come in.
+    /// Listen address for other daemons.
     pub peers: SocketAddr,
-    /// Where the platform's object API listens.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// SHA-256 of the operators' token, in hexadecimal.
+    /// SHA-256 of the operators' bearer token, as 64 hexadecimal digits.
     pub token_sha256: String,
-    /// Bounds for callers.
+    /// Limits for callers.
     pub limits: LimitSettings,
-    /// File to log to; the standard output if there is none.
+    /// Log file; logs go to standard output without one.
     pub log_file: Option<String>,
-    /// Lowest level that is logged.
+    /// Least severe level that is logged.
     pub log_level: log::LevelFilter,
-    /// Where metrics are sent by UDP in the statsd format.
+    /// Address that metrics are sent to in the statsd format over UDP.
     pub statsd: Option<SocketAddr>,
 }
 
-/// Section `[limits]`: bounds for callers.
+/// Section `[limits]`: limits for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Bytes of a request's line and headers.
+    /// Maximum size of a request line with its headers, in bytes.
     pub max_head_bytes: usize,
-    /// Connections of callers at a time.
+    /// Maximum number of concurrent connections of callers.
     pub max_connections: usize,
-    /// Time for a caller to send its whole body.
+    /// How long a caller may take to send the complete request body.
     pub body_timeout: Duration,
-    /// Deadline of a request that names none.
+    /// Time to the deadline of a request that doesn't specify one.
     pub default_deadline: Duration,
-    /// Longest deadline that a request may name.
+    /// Maximum time to the deadline that a request may specify.
     pub max_deadline: Duration,
-    /// How long a stop waits for requests in progress.
+    /// How long a shutdown waits for requests in progress.
     pub stop_within: Duration,
-    /// How long a daemon that was told to stop still takes requests, so that the
-    /// balancer can see that it is no longer ready; not at all without.
+    /// How long a daemon continues to accept requests after it was told to stop, so that the load
+    /// balancer notices that it is no longer ready; without it, the shutdown begins at once.
     pub linger: Option<Duration>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl DaemonSettings {
-    /// Reads the sections of the process.
+    /// Reads all sections of the daemon process; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("daemon");
         let name = section.text("name", "entry-1");
@@ -101,8 +101,8 @@
         let token_sha256 = section.text("token_sha256", "the output of `sha256sum`");
         let is_hash = token_sha256.len() == 64;
         if !is_hash && !token_sha256.is_empty() {
-            let message = format!("token_sha256 can't be {token_sha256:?}");
-            let mend = "write 64 hexadecimal digits: printf %s TOKEN | sha256sum";
+            let message = format!("invalid token_sha256 {token_sha256:?}");
+            let mend = "specify 64 hexadecimal digits, the output of: printf %s TOKEN | sha256sum";
             section.problem("token_sha256", message, mend);
         }
         let mut section = reader.section("log");
@@ -144,7 +144,7 @@
                 .find(|(_, other)| other == address && address.port() != 0);
             if let Some((other, _)) = twin {
                 let message = format!("{key} and {other} both listen on {address}");
-                let mend = "give each its own port".to_owned();
+                let mend = "use a different port for each".to_owned();
                 reader.problem("listen", Some(key), message, mend);
             }
         }
@@ -156,14 +156,14 @@
         return log::LevelFilter::Info;
     };
     text.parse().unwrap_or_else(|_| {
-        let message = format!("level can't be {text:?}");
-        section.problem("level", message, "write error, warn, info or debug");
+        let message = format!("invalid level {text:?}");
+        section.problem("level", message, "use error, warn, info or debug");
         log::LevelFilter::Info
     })
 }
 
 impl LimitSettings {
-    /// Reads section `[limits]`.
+    /// Reads section `[limits]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("limits");
         let default = Self::default();
--- a/shalehinge/src/settings/learning.rs
+++ b/shalehinge/src/settings/learning.rs
@@ -1,4 +1,4 @@
-//! Settings of how a daemon learns what the platform keeps.
+//! Settings for how a daemon follows the objects stored on the platform.
 
 use std::time::Duration;
 
@@ -7,50 +7,52 @@
 /// Section `[learning]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LearningSettings {
-    /// Whether the objects are read together or by kind.
+    /// Whether all objects are listed and watched together or by kind.
     pub feeds: FeedLayout,
-    /// How long a watch waits for a change.
+    /// How long a watch waits for a change before it returns empty.
     pub watch_wait: Duration,
-    /// How long a watch of the host list alone, or one that may be stale, waits for a
-    /// change.
+    /// The same for a watch of the host list alone, and for one that may return stale data.
     pub host_wait: Duration,
-    /// Time between the starts of two watches of the host list.
+    /// Minimum time between the starts of two watches of the host list.
     pub host_spacing: Duration,
-    /// Daemons of a failure domain that watch; the others hear it from peers.
+    /// Number of daemons per failure domain that watch the platform; the others get updates from
+    /// peers.
     pub watchers: usize,
-    /// Whether the others watch too, with answers that may be stale; for platforms that
-    /// charge little for these. Watchers confirm to them what is new.
+    /// Whether the other daemons watch too, accepting stale results; for platforms where stale
+    /// reads are cheap. The watchers confirm to them which version is current.
     pub stale_watches: bool,
-    /// How long after the configuration was confirmed a watcher is asked again.
+    /// How long after the last confirmation of the configuration a daemon asks a watcher again.
     pub confirm_after: Duration,
-    /// How long after it was confirmed a daemon asks the platform exactly itself.
+    /// How long after the last confirmation a daemon makes an exact read of the platform itself.
     pub ask_after: Duration,
-    /// Whether only the watchers of a failure domain and whoever holds its control read the
-    /// platform, and the others hear from peers what changed; only with `feeds = split`.
+    /// Whether only the watchers and the lease holder of a failure domain read the platform, and
+    /// peers relay changes to the others. Requires `feeds = split`.
     pub relays: bool,
-    /// Time between two questions for what changed, where peers relay it.
+    /// Time between two pulls of changes from peers, with `relays`.
     pub relay_interval: Duration,
-    /// Whether a key that was taken away must stop working everywhere within
-    /// `revoke_within`, also at daemons that cannot reach the platform.
+    /// Whether a revoked API key must stop working everywhere within `revoke_within`, including at
+    /// daemons that can't reach the platform.
     pub strict_revocation: bool,
-    /// Time after the platform took a configuration until a key that it no longer
-    /// holds must not work any more. Only with `strict_revocation`.
+    /// Time from when the platform accepts a configuration until API keys that it no longer
+    /// contains must be rejected. Used only with `strict_revocation`, which requires it.
     pub revoke_within: Option<Duration>,
-    /// Time after the platform took a configuration until it must be in force everywhere;
-    /// without, an older one is served by for as long as the newer one does not come.
+    /// Time from when the platform accepts a configuration until it must be in force everywhere.
+    /// Without it, a daemon keeps serving by an older configuration until it receives the newer
+    /// one.
     pub in_force_within: Option<Duration>,
-    /// How fresh the configuration must be for a request to be refused as unknown
-    /// for good; however old without.
+    /// Maximum age of the configuration at which a request may be permanently rejected for an
+    /// unknown name or key. Without it, any age.
     pub refuse_within: Option<Duration>,
 }
 
 /// Which objects are listed and watched together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedLayout {
-    /// All in one.
+    /// All objects in one list and one watch.
     #[default]
     Shared,
-    /// Configuration and host list apart; the host list tells which groups stand.
+    /// Separate watches for the configuration and the host list. Groups are known from the host
+    /// list, as assignments are not watched.
     Split,
 }
 
@@ -76,7 +78,7 @@
 }
 
 impl LearningSettings {
-    /// Reads section `[learning]`.
+    /// Reads section `[learning]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("learning");
         let default = Self::default();
@@ -97,27 +99,28 @@
             refuse_within: section.optional_duration("refuse_within"),
         };
         if settings.relays && settings.feeds != FeedLayout::Split {
-            let message = "relays = yes needs feeds = split".to_owned();
-            section.problem("relays", message, "write feeds = split, or relays = no");
+            let message = "relays = yes requires feeds = split".to_owned();
+            section.problem("relays", message, "set feeds = split or relays = no");
         }
         settings
     }
 
-    /// How long requests are served by a configuration once a newer one is known of.
+    /// How long requests are still served by a configuration after the daemon has learned that a
+    /// newer one exists; `None` for no limit.
     pub fn served_when_superseded(&self) -> Option<Duration> {
-        /// Part of `in_force_within`. The rest is for the time until the newer one was heard
-        /// of, and for the request's way to the upstream; chosen.
+        /// Fraction of `in_force_within`. The remainder covers the time until the daemon learns of
+        /// the newer configuration, and the delivery of the request to the upstream.
         const USED_PART: f64 = 0.6;
         Some(self.in_force_within?.mul_f64(USED_PART))
     }
 
-    /// How long after the platform last confirmed the configuration requests with a
-    /// key are still served; `None` without end. Where revocation is not strict, a
-    /// daemon that cannot reach the platform goes on with the keys that it knows.
+    /// How long requests with an API key are still served after the platform last confirmed the
+    /// configuration; `None` for no limit. Without strict revocation, a daemon that can't reach
+    /// the platform keeps accepting the keys that it knows.
     pub fn keys_valid_for(&self) -> Option<Duration> {
-        /// Part of `revoke_within` in which keys are used. The rest is for the request's
-        /// way to the upstream and for clocks that run at different rates; chosen, the
-        /// same part has been in use since relayed routes exist.
+        /// Fraction of `revoke_within` during which keys are accepted. The remainder covers the
+        /// delivery of the request to the upstream, and differences in clock rates. Relayed routes
+        /// have used the same fraction since they were introduced.
         const USED_PART: f64 = 0.8;
         let within = self.revoke_within.filter(|_| self.strict_revocation)?;
         Some(within.mul_f64(USED_PART))
--- a/shalehinge/src/settings/lease.rs
+++ b/shalehinge/src/settings/lease.rs
@@ -1,4 +1,4 @@
-//! Settings of the control lease.
+//! Settings for the control lease of a failure domain.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 /// Section `[lease]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// How long a candidate waits after the last change that it saw.
+    /// How long a candidate must see the lease unchanged before it may take it.
     pub term: Duration,
-    /// How much earlier the holder stops: covers clock rates that differ.
+    /// How much earlier than `term` the holder stops acting; covers differences in clock rates.
     pub margin: Duration,
-    /// Time between two renewals, or two looks of a candidate.
+    /// Time between two renewals by the holder, or two reads by a candidate.
     pub interval: Duration,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl LeaseSettings {
-    /// Reads section `[lease]`.
+    /// Reads section `[lease]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("lease");
         let default = Self::default();
--- a/shalehinge/src/settings/membership.rs
+++ b/shalehinge/src/settings/membership.rs
@@ -1,4 +1,4 @@
-//! Settings of the gossip between daemons.
+//! Settings for gossip-based membership of daemons.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 /// Section `[membership]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipSettings {
-    /// Time between two pulls.
+    /// Time between two gossip pulls.
     pub interval: Duration,
-    /// A member whose counter stands still for so long is dead.
+    /// How long a member's heartbeat counter may stay unchanged before the member is considered
+    /// dead.
     pub dead_after: Duration,
-    /// A dead member is forgotten after so long.
+    /// How long a dead member is kept before it is removed.
     pub forget_after: Duration,
-    /// Members told of in one message.
+    /// Maximum number of members described in one message.
     pub sample: usize,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl MembershipSettings {
-    /// Reads section `[membership]`.
+    /// Reads section `[membership]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("membership");
         let default = Self::default();
--- a/shalehinge/src/settings/mod.rs
+++ b/shalehinge/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! Settings, one file a part, with their defaults.
+//! Settings of the daemon with their defaults, one module per section or group of sections.
 //!
-//! - `reader`: reads an INI file and collects what is wrong
-//! - `daemon`: the process: names, addresses, bounds
-//! - `core`: all parts of the decisions together
-//! - `learning`, `lease`, `membership`, `control`, `claims`, `router`: one part each
+//! - `reader`: reads an INI file and collects all problems in it
+//! - `daemon`: the process: identity, addresses, limits
+//! - `core`: all sections of the decision logic combined
+//! - `learning`, `lease`, `membership`, `control`, `claims`, `router`: one section each
 
 pub mod claims;
 pub mod control;
@@ -24,32 +24,36 @@
 /// All settings of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The process.
+    /// Settings of the process.
     pub daemon: DaemonSettings,
-    /// The decisions.
+    /// Settings of the decision logic.
     pub core: CoreSettings,
 }
 
-/// Why settings could not be loaded.
+/// Why the settings could not be loaded.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum LoadError {
     /// The file can't be read.
-    #[error("the settings file {file} can't be read: {error}")]
-    #[diagnostic(help("name a file that exists; docs/example.ini explains every key"))]
+    #[error("failed to read settings file {file}: {error}")]
+    #[diagnostic(help("pass the path of an existing file; docs/example.ini documents every key"))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What the system said.
+        /// Error from the operating system.
         error: std::io::Error,
     },
-    /// What it says can't be used.
+    /// The file contains invalid settings.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Invalid(#[from] SettingsError),
 }
 
 impl Settings {
-    /// Loads and checks a file as a whole.
+    /// Loads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or its content is invalid; all problems are reported together.
     pub fn load(path: &Path) -> Result<Self, LoadError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| LoadError::Unreadable {
@@ -59,7 +63,11 @@
         Ok(Self::parse(&file, &text)?)
     }
 
-    /// Checks the text of a file as a whole.
+    /// Parses and validates the text of a settings file; `file` is its path for error messages.
+    ///
+    /// # Errors
+    ///
+    /// The content is invalid; all problems are reported together.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let mut reader = Reader::parse(file, text)?;
         let daemon = DaemonSettings::read(&mut reader);
@@ -70,24 +78,24 @@
     }
 }
 
-/// Times that must stand in an order to each other.
+/// Checks constraints between settings of durations.
 fn check_times(core: &CoreSettings, reader: &mut Reader) {
     let lease = core.lease;
     if lease.interval + lease.margin >= lease.term {
-        let message = "term must be longer than interval and margin together".to_owned();
-        let mend = "raise term, to three times the interval or more".to_owned();
+        let message = "term must be longer than interval and margin combined".to_owned();
+        let mend = "increase term to at least three times the interval".to_owned();
         reader.problem("lease", Some("term"), message, mend);
     }
     let learning = core.learning;
     if learning.strict_revocation && learning.revoke_within.is_none() {
-        let message = "strict_revocation needs revoke_within".to_owned();
+        let message = "strict_revocation requires revoke_within".to_owned();
         let mend = "add a line like `revoke_within = 5s`".to_owned();
         reader.problem("learning", Some("strict_revocation"), message, mend);
     }
     let router = core.router;
     if router.report_interval >= router.evidence_ttl {
         let message = "evidence_ttl must be longer than report_interval".to_owned();
-        let mend = "raise evidence_ttl, to three times report_interval or more".to_owned();
+        let mend = "increase evidence_ttl to at least three times report_interval".to_owned();
         reader.problem("router", Some("evidence_ttl"), message, mend);
     }
 }
--- a/shalehinge/src/settings/reader.rs
+++ b/shalehinge/src/settings/reader.rs
@@ -1,6 +1,6 @@
-//! Reads a settings file in INI and collects everything that is wrong with it.
+//! Reads a settings file in INI format and collects all problems in it.
 //!
-//! Each problem names file, line and key, and says how to mend it.
+//! Each problem has the file, line and key, and a suggested fix.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::str::FromStr;
@@ -14,39 +14,39 @@
 use super::router::ChoicePolicy;
 use crate::core::placement::host_choice::HostChoice;
 
-/// Everything that is wrong with a settings file.
+/// All problems in a settings file.
 #[derive(Debug, thiserror::Error, Diagnostic)]
-#[error("the settings in {file} can't be used")]
+#[error("invalid settings in {file}")]
 pub struct SettingsError {
-    /// The file.
+    /// Path of the settings file.
     pub file: String,
-    /// Each problem.
+    /// The problems, sorted by line.
     #[related]
     pub problems: Vec<SettingsProblem>,
 }
 
-/// One thing that is wrong.
+/// A problem in a settings file.
 #[derive(Debug, thiserror::Error, Diagnostic)]
 #[error("{file}:{line}: {message}")]
 pub struct SettingsProblem {
-    /// The file.
+    /// Path of the settings file.
     pub file: String,
-    /// Line in the file, from 1.
+    /// Line number in the file, starting at 1.
     pub line: usize,
-    /// What is wrong, with the key.
+    /// Description of the problem, including the key.
     pub message: String,
-    /// How to mend it.
+    /// Suggested fix.
     #[help]
     pub mend: String,
-    /// The text of the file.
+    /// Text of the file, for the error report.
     #[source_code]
     pub source_code: NamedSource<String>,
-    /// Where it stands.
+    /// Location of the line in the text, in bytes.
     #[label("here")]
     pub span: SourceSpan,
 }
 
-/// A settings file that is being read.
+/// Reads the sections of a settings file and collects problems.
 pub struct Reader {
     file: String,
     text: String,
@@ -55,14 +55,18 @@
     problems: Vec<SettingsProblem>,
 }
 
-/// One section that is being read.
+/// Reads the keys of one section.
 pub struct Section<'a> {
     reader: &'a mut Reader,
     name: &'static str,
 }
 
 impl Reader {
-    /// Parses a file's text.
+    /// Parses the text of a settings file; `file` is its path for error messages.
+    ///
+    /// # Errors
+    ///
+    /// The text is not valid INI.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         match Ini::load_from_str(text) {
             Ok(ini) => Ok(Self {
@@ -77,8 +81,8 @@
                 let problem = SettingsProblem {
                     file: file.to_owned(),
                     line,
-                    message: format!("this is not INI: {}", error.msg),
-                    mend: "write `key = value` lines under a `[section]`".into(),
+                    message: format!("invalid INI: {}", error.msg),
+                    mend: "put `key = value` lines under a `[section]`".into(),
                     source_code: NamedSource::new(file, text.to_owned()),
                     span: span_of_line(text, line),
                 };
@@ -90,13 +94,17 @@
         }
     }
 
-    /// Starts to read a section.
+    /// Starts reading a section, and registers its name as known.
     pub fn section(&mut self, name: &'static str) -> Section<'_> {
         self.used.entry(name.to_owned()).or_default();
         Section { reader: self, name }
     }
 
-    /// Ends the reading: unknown sections and keys are problems as well.
+    /// Finishes reading. Sections and keys that were never read are reported as unknown.
+    ///
+    /// # Errors
+    ///
+    /// All problems that were found.
     pub fn finish(mut self) -> Result<(), SettingsError> {
         self.find_unknown();
         if self.problems.is_empty() {
@@ -112,35 +120,35 @@
     fn find_unknown(&mut self) {
         let mut unknown = Vec::new();
         for (section, properties) in self.ini.iter() {
-            // Text before the first section is a section without a name.
+            // rust-ini represents the text before the first section as a section without a name.
             if section.is_none() && properties.is_empty() {
                 continue;
             }
             let section = section.unwrap_or_default();
             let Some(used) = self.used.get(section) else {
                 let known: Vec<&str> = self.used.keys().map(String::as_str).collect();
-                let mend = format!("the sections are {}", known.join(", "));
+                let mend = format!("the valid sections are {}", known.join(", "));
                 unknown.push((section.to_owned(), None, mend));
                 continue;
             };
             for (key, _) in properties.iter() {
                 if !used.contains(key) {
                     let known: Vec<&str> = used.iter().map(String::as_str).collect();
-                    let mend = format!("the keys of [{section}] are {}", known.join(", "));
+                    let mend = format!("the valid keys in [{section}] are {}", known.join(", "));
                     unknown.push((section.to_owned(), Some(key.to_owned()), mend));
                 }
             }
         }
         for (section, key, mend) in unknown {
             let message = match &key {
-                Some(key) => format!("there is no key {key:?} in [{section}]"),
-                None => format!("there is no section [{section}]"),
+                Some(key) => format!("unknown key {key:?} in [{section}]"),
+                None => format!("unknown section [{section}]"),
             };
             self.problem(&section, key.as_deref(), message, mend);
         }
     }
 
-    /// Notes a problem at a key, or at its section if the key is not there.
+    /// Records a problem at the line of a key, or of its section header if the key is absent.
     pub fn problem(&mut self, section: &str, key: Option<&str>, message: String, mend: String) {
         let line = self.line_of(section, key);
         let span = span_of_line(&self.text, line);
@@ -190,7 +198,7 @@
 }
 
 impl Section<'_> {
-    /// The text of a key, if it is there and not empty.
+    /// Returns the value of a key unless it is absent or empty, and registers the key as known.
     fn raw(&mut self, key: &str) -> Option<String> {
         let used = self.reader.used.entry(self.name.to_owned()).or_default();
         used.insert(key.to_owned());
@@ -199,7 +207,7 @@
         (!value.is_empty()).then(|| value.to_owned())
     }
 
-    /// Notes a problem at a key of this section.
+    /// Records a problem with a key of this section.
     pub fn problem(&mut self, key: &str, message: String, mend: &str) {
         self.reader
             .problem(self.name, Some(key), message, mend.to_owned());
@@ -218,13 +226,13 @@
         match parse(&text) {
             Some(value) => value,
             None => {
-                self.problem(key, format!("{key} can't be {text:?}"), mend);
+                self.problem(key, format!("invalid value {text:?} for {key}"), mend);
                 default
             }
         }
     }
 
-    /// A time with its unit.
+    /// Reads a duration above zero with its unit.
     pub fn duration(&mut self, key: &str, default: Duration) -> Duration {
         let parse = |text: &str| {
             let value = humantime::parse_duration(text).ok()?;
@@ -234,45 +242,50 @@
             key,
             default,
             parse,
-            "write a time above zero with its unit, like 500ms, 2s or 1h",
+            "use a duration above zero with its unit, such as 500ms, 2s or 1h",
         )
     }
 
-    /// A time with its unit that may be left out.
+    /// Reads an optional duration above zero with its unit.
     pub fn optional_duration(&mut self, key: &str) -> Option<Duration> {
         self.raw(key)?;
         Some(self.duration(key, Duration::ZERO))
     }
 
-    /// A whole number from 1.
+    /// Reads an integer of at least 1.
     pub fn count<T: FromStr + PartialOrd + From<u8>>(&mut self, key: &str, default: T) -> T {
         let parse = |text: &str| {
             let value = text.parse::<T>().ok()?;
             (value >= T::from(1)).then_some(value)
         };
-        self.parse(key, default, parse, "write a whole number from 1")
+        self.parse(key, default, parse, "use an integer of at least 1")
     }
 
-    /// A number that is not negative.
+    /// Reads a finite number of at least 0.
     pub fn fraction(&mut self, key: &str, default: f64) -> f64 {
         let parse = |text: &str| {
             let value = text.parse::<f64>().ok()?;
             (value.is_finite() && value >= 0.0).then_some(value)
         };
-        self.parse(key, default, parse, "write a number like 0.5, from 0")
+        self.parse(
+            key,
+            default,
+            parse,
+            "use a number of at least 0, such as 0.5",
+        )
     }
 
-    /// Yes or no.
+    /// Reads a boolean: `yes`, `true`, `no` or `false`.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         let parse = |text: &str| match text {
             "yes" | "true" => Some(true),
             "no" | "false" => Some(false),
             _ => None,
         };
-        self.parse(key, default, parse, "write yes or no")
+        self.parse(key, default, parse, "use yes or no")
     }
 
-    /// How an upstream is chosen.
+    /// Reads the policy for choosing an upstream.
     pub fn policy(&mut self, key: &str, default: ChoicePolicy) -> ChoicePolicy {
         let parse = |text: &str| match text {
             "score" => Some(ChoicePolicy::Score),
@@ -280,46 +293,46 @@
             "least-in-flight" => Some(ChoicePolicy::LeastInFlight),
             _ => None,
         };
-        let mend = "write score, round-robin or least-in-flight";
+        let mend = "use score, round-robin or least-in-flight";
         self.parse(key, default, parse, mend)
     }
 
-    /// Which objects are listed and watched together.
+    /// Reads which objects are listed and watched together.
     pub fn feed_layout(&mut self, key: &str, default: FeedLayout) -> FeedLayout {
         let parse = |text: &str| match text {
             "shared" => Some(FeedLayout::Shared),
             "split" => Some(FeedLayout::Split),
             _ => None,
         };
-        self.parse(key, default, parse, "write shared or split")
+        self.parse(key, default, parse, "use shared or split")
     }
 
-    /// How the members of a group come together.
+    /// Reads how the members of a group are assembled.
     pub fn assembly(&mut self, key: &str, default: Assembly) -> Assembly {
         let parse = |text: &str| match text {
             "engines" => Some(Assembly::Engines),
             "orders" => Some(Assembly::Orders),
             _ => None,
         };
-        self.parse(key, default, parse, "write engines or orders")
+        self.parse(key, default, parse, "use engines or orders")
     }
 
-    /// How hosts are chosen.
+    /// Reads how hosts are chosen for a new group.
     pub fn host_choice(&mut self, key: &str, default: HostChoice) -> HostChoice {
         let parse = |text: &str| match text {
             "best-fit" => Some(HostChoice::BestFit),
             "first-fit" => Some(HostChoice::FirstFit),
             _ => None,
         };
-        self.parse(key, default, parse, "write best-fit or first-fit")
+        self.parse(key, default, parse, "use best-fit or first-fit")
     }
 
-    /// Text that may be left out.
+    /// Reads optional text.
     pub fn optional_text(&mut self, key: &str) -> Option<String> {
         self.raw(key)
     }
 
-    /// Text that must be there.
+    /// Reads required text; `example` is shown as a value if the key is missing.
     pub fn text(&mut self, key: &str, example: &str) -> String {
         self.raw(key).unwrap_or_else(|| {
             let mend = format!("add a line like `{key} = {example}`");
@@ -328,13 +341,13 @@
         })
     }
 
-    /// An address that may be left out.
+    /// Reads an optional socket address.
     pub fn optional_address(&mut self, key: &str) -> Option<std::net::SocketAddr> {
-        let mend = "write an IP number and a port, like 10.0.0.7:7000";
+        let mend = "use an IP address and a port, such as 10.0.0.7:7000";
         self.parse(key, None, |text| text.parse().ok().map(Some), mend)
     }
 
-    /// An address that must be there.
+    /// Reads a required socket address.
     pub fn address(&mut self, key: &str) -> std::net::SocketAddr {
         let nowhere = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         let is_missing = self.raw(key).is_none();
@@ -346,7 +359,7 @@
         self.optional_address(key).unwrap_or(nowhere)
     }
 
-    /// Addresses with commas between them.
+    /// Reads a comma-separated list of socket addresses; empty if the key is absent.
     pub fn addresses(&mut self, key: &str) -> Vec<std::net::SocketAddr> {
         let parse = |text: &str| {
             let parts = text
@@ -356,7 +369,7 @@
             parts.map(|part| part.parse().ok()).collect()
         };
         let mend =
-            "write IP numbers with ports and commas between, like 10.0.0.7:7002, 10.0.0.8:7002";
+            "use comma-separated IP addresses with ports, such as 10.0.0.7:7002, 10.0.0.8:7002";
         self.parse(key, Vec::new(), parse, mend)
     }
 }
--- a/shalehinge/src/settings/router.rs
+++ b/shalehinge/src/settings/router.rs
@@ -1,4 +1,4 @@
-//! Settings of routing, limits and retries.
+//! Settings for routing, queueing, retries and ejection.
 
 use std::time::Duration;
 
@@ -7,76 +7,80 @@
 /// Section `[router]`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// Replicas of the own failure domain that are candidates, per model.
+    /// Maximum number of candidate replicas per model in the daemon's own failure domain.
     pub local_candidates: usize,
-    /// Replicas of other failure domains that are candidates, per model.
+    /// Maximum number of candidate replicas per model in other failure domains.
     pub remote_candidates: usize,
-    /// Time between two load reports asked of a candidate.
+    /// Time between two requests for a load report of a candidate.
     pub report_interval: Duration,
-    /// How long a report proves that a replica is complete, from before it was asked for.
+    /// How long a report proves that a replica is complete, counted from when it was requested.
     pub evidence_ttl: Duration,
-    /// Requests that may wait, over all customers.
+    /// Maximum number of queued requests of all customers together.
     pub max_waiting: usize,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Retries allowed for each first attempt.
+    /// Retry budget gained per first attempt, in retries.
     pub retry_ratio: f64,
-    /// Retries that may be saved up.
+    /// Maximum retry budget that can accumulate, in retries.
     pub retry_burst: f64,
-    /// Failures in a row that eject an upstream.
+    /// Number of consecutive failures after which an upstream is ejected.
     pub eject_after: u32,
-    /// How long the first ejection lasts; each further one doubles it.
+    /// Duration of the first ejection; it doubles with each further one.
     pub eject_for: Duration,
-    /// Largest part of a target's upstreams that may be ejected.
+    /// Maximum fraction of a target's upstreams that may be ejected.
     pub max_ejected: f64,
-    /// An upstream this many times slower than the median is ejected as well.
+    /// An upstream is also ejected if it is slower than the median by this factor.
     pub slow_factor: f64,
-    /// Requests at a time to an instance of a plain service.
+    /// Maximum number of concurrent requests to an instance of a plain service.
     pub service_concurrency: u32,
-    /// Requests at an engine above its batch slots, as a part of them.
+    /// Requests sent to an engine beyond its batch slots, as a fraction of the slots.
     pub engine_backlog: f64,
-    /// Reserve the expected peak of KV memory before a request is sent.
+    /// Whether the expected peak of KV-cache memory is reserved before a request is sent.
     pub reserve_kv: bool,
-    /// Prefer the replica that holds the start of the prompt.
+    /// Whether to prefer a replica that has a prefix of the prompt cached.
     pub prefix_affinity: bool,
-    /// How far above the mean load a replica may be and still be preferred for a prefix.
+    /// Maximum load of a replica preferred for its prefix, as a multiple of the mean load.
     pub affinity_load_bound: f64,
-    /// Refuse at once what would miss its deadline, or wait longer than `max_wait`.
+    /// Whether to reject a request at once if it is expected to miss its deadline or to wait
+    /// longer than `max_wait`.
     pub early_refusal: bool,
-    /// Longest estimated wait for an upstream.
+    /// Maximum estimated wait for an upstream, with `early_refusal`.
     pub max_wait: Duration,
-    /// Send what can still be on time before what is late already.
+    /// Whether to send requests that can still meet their deadline before those that are already
+    /// late.
     pub timely_first: bool,
-    /// What a replica in another failure domain must be better by.
+    /// Time by which a replica in another failure domain must be better to be preferred.
     pub remote_penalty: Duration,
-    /// Choose at random among the upstreams, in turn, or by score.
+    /// How an upstream is chosen for a request.
     pub policy: ChoicePolicy,
-    /// How much of a listed upstream a daemon may take, against its even part.
+    /// Maximum use of a listed upstream's capacity by one daemon, as a multiple of its equal
+    /// share.
     pub uneven_share: f64,
-    /// Requests run at a listed replica, and none moves for so long: it lost a member.
+    /// A listed replica with requests running is considered to have lost a member if none of them
+    /// makes progress for this long.
     pub stall_after: Duration,
-    /// As `stall_after`, for the lease holder to be told, who asks the members.
+    /// The same, until the lease holder is notified, which then probes the members.
     pub suspect_after: Duration,
-    /// Whether `retry_burst` is for the whole fleet and each daemon has a part of it.
+    /// Whether `retry_burst` applies to the fleet as a whole and is divided among its daemons.
     pub retry_burst_is_shared: bool,
-    /// Upstreams that crash under a request, while it completes at none, before it is tried alone;
-    /// 0 for never.
+    /// Number of upstreams that must crash while running a request, with none completing it,
+    /// before the request is retried on its own; 0 disables this.
     pub quarantine_after: u32,
-    /// How long a request that is proven to crash upstreams is refused after the last crash.
+    /// How long a request that is proven to crash upstreams is rejected after the last crash.
     pub quarantine_for: Duration,
-    /// When refused callers are told to come back, where nothing better is known.
+    /// Time after which rejected callers are told to retry, if no better estimate is available.
     pub retry_after: Duration,
 }
 
-/// How an upstream is chosen. All but `Score` are baselines.
+/// How an upstream is chosen. All policies but `Score` are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// By estimated time to the last token.
+    /// By the lowest estimated time to the last token.
     #[default]
     Score,
-    /// In turn.
+    /// Round robin.
     RoundRobin,
-    /// Fewest own requests in flight.
+    /// By the fewest requests in flight from this daemon.
     LeastInFlight,
 }
 
@@ -117,7 +121,7 @@
 }
 
 impl RouterSettings {
-    /// Reads section `[router]`.
+    /// Reads section `[router]`; problems are collected in `reader`.
     pub fn read(reader: &mut Reader) -> Self {
         let mut section = reader.section("router");
         let default = Self::default();
--- a/shalehinge/src/telemetry/logs.rs
+++ b/shalehinge/src/telemetry/logs.rs
@@ -1,4 +1,4 @@
-//! Logs by log4rs: short lines, each with the prefix of its part.
+//! Logging through log4rs: short lines, each with the prefix of the component that wrote it.
 
 use log::LevelFilter;
 use log4rs::append::Append;
@@ -9,16 +9,21 @@
 
 use crate::core::event::LogLine;
 
-/// Time, level, text.
+/// Time in UTC with milliseconds, level, message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f)(utc)}Z {l} {m}{n}";
 
-/// Why logging can't start.
+/// Why logging could not be initialized.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-#[error("the log can't be opened: {0}")]
-#[diagnostic(help("name a file in [log] that can be written, or leave it out"))]
+#[error("failed to open the log: {0}")]
+#[diagnostic(help("set file in [log] to a writable path, or remove it to log to standard output"))]
 pub struct LogError(String);
 
-/// Starts logging to a file, or to the standard output.
+/// Initializes logging to a file, or to standard output. `level` applies to the daemon's own
+/// lines.
+///
+/// # Errors
+///
+/// The file can't be opened, or logging was initialized before.
 pub fn start(file: Option<&str>, level: LevelFilter) -> Result<(), LogError> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match file {
@@ -30,7 +35,7 @@
     };
     let config = Config::builder()
         .appender(Appender::builder().build("main", appender))
-        // Libraries speak only when something is wrong.
+        // Libraries log warnings and errors only.
         .logger(log4rs::config::Logger::builder().build("shalehinge", level))
         .build(Root::builder().appender("main").build(LevelFilter::Warn))
         .map_err(|error| LogError(error.to_string()))?;
@@ -38,7 +43,7 @@
     Ok(())
 }
 
-/// Writes a line of the core.
+/// Writes a log line produced by the core, at level info.
 pub fn write(line: &LogLine) {
     log::info!(target: "shalehinge", "{}: {}", line.part.prefix(), line.text);
 }
--- a/shalehinge/src/telemetry/metrics.rs
+++ b/shalehinge/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by cadence: sent by UDP in the statsd format, and kept for a page.
+//! Metrics: sent over UDP in the statsd format by cadence, and kept as totals for a text page.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -8,54 +8,55 @@
 use cadence::prelude::*;
 use cadence::{BufferedUdpMetricSink, MetricSink, NopMetricSink, QueuingMetricSink, StatsdClient};
 
-/// Prefix of all metrics.
+/// Prefix of all metric names.
 const PREFIX: &str = "shalehinge";
-/// Bounds of the wait histogram on the page, in milliseconds.
+/// Upper bounds of the histogram buckets on the page, in milliseconds. A further bucket counts
+/// what is above the last one.
 const TIME_BOUNDS_MS: [u64; 8] = [1, 5, 20, 100, 500, 2_000, 10_000, 60_000];
 
-/// What is counted.
+/// A counter metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Counter {
-    /// Requests of callers.
+    /// Requests received from callers.
     Requests,
-    /// Requests answered whole.
+    /// Requests that got a complete response.
     Completed,
-    /// Requests that the upstream answered as failed.
+    /// Requests that failed at the upstream.
     Failed,
     /// Requests that were not run.
     NotRun,
-    /// Requests that were not run as the same request crashed upstreams before.
+    /// Requests that were not run because the same request had crashed upstreams before.
     Quarantined,
     /// Requests whose outcome is unknown.
     Unknown,
     /// Attempts sent to upstreams.
     Attempts,
-    /// Reads of the platform.
+    /// Reads from the platform.
     PlatformReads,
     /// Writes to the platform.
     PlatformWrites,
-    /// Watches of the platform.
+    /// Watches started at the platform.
     PlatformWatches,
-    /// Calls to the platform without an answer.
+    /// Calls to the platform that got no valid response.
     PlatformNoAnswer,
-    /// Watches from a revision whose history the platform does not have.
+    /// Watches from a revision whose history the platform no longer has.
     PlatformHistoryGone,
-    /// Orders to engines.
+    /// Orders sent to engines.
     Orders,
-    /// Statuses asked of engines.
+    /// Status requests sent to engines.
     Statuses,
-    /// Pulls from peers.
+    /// Gossip pulls sent to peers.
     Pulls,
-    /// Pulls from peers that got no answer.
+    /// Gossip pulls that got no response.
     PullsUnanswered,
-    /// Bytes of the answers to pulls.
+    /// Bytes received in responses to gossip pulls.
     PullBytes,
-    /// Notices to peers.
+    /// Notices sent to peers.
     Notices,
 }
 
 impl Counter {
-    /// Name of the metric.
+    /// Returns the name of the metric, without the prefix.
     pub fn name(self) -> &'static str {
         match self {
             Self::Requests => "requests",
@@ -94,7 +95,8 @@
 }
 
 impl Metrics {
-    /// Sends to a statsd sink, if one is named.
+    /// Creates the metrics, sent to the address `statsd` if there is one. If no UDP socket can be
+    /// opened, metrics are only kept for the page.
     pub fn new(statsd: Option<SocketAddr>) -> Self {
         let client = match statsd.and_then(udp_sink) {
             Some(sink) => StatsdClient::from_sink(PREFIX, sink),
@@ -106,21 +108,21 @@
         }
     }
 
-    /// Counts one.
+    /// Increments a counter by one.
     pub fn count(&self, counter: Counter) {
         self.add(counter, 1);
     }
 
-    /// Counts so many.
+    /// Increments a counter by `count`.
     pub fn add(&self, counter: Counter, count: u64) {
-        // A metric that can't be sent is lost; serving goes on.
+        // A metric that can't be sent is dropped, so that serving is not affected.
         let _ = self.client.count(counter.name(), count as i64);
         if let Ok(mut totals) = self.totals.lock() {
             *totals.counters.entry(counter).or_default() += count;
         }
     }
 
-    /// Notes how late a tick came.
+    /// Records by how much a timer tick was late.
     pub fn tick_lateness(&self, time: Duration) {
         let millis = time.as_millis() as u64;
         let _ = self.client.time("tick.late", millis);
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Notes the time from a request to its first output.
+    /// Records the time from the arrival of a request to its first output.
     pub fn first_output(&self, time: Duration) {
         let millis = time.as_millis() as u64;
         let _ = self.client.time("first_output", millis);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// The page to read: a line a metric, name and value.
+    /// Renders all totals as text, one line per metric with name and value.
     pub fn page(&self) -> String {
         let Ok(totals) = self.totals.lock() else {
             return String::new();
--- a/shalehinge/src/telemetry/mod.rs
+++ b/shalehinge/src/telemetry/mod.rs
@@ -1,7 +1,7 @@
 //! Logs and metrics.
 //!
-//! - `logs`: log4rs, one line a decision, a fixed prefix a part
-//! - `metrics`: cadence to a statsd sink, and a page to read
+//! - `logs`: logging through log4rs, with a fixed prefix per component
+//! - `metrics`: counters and timings, sent to statsd and rendered as a text page
 
 pub mod logs;
 pub mod metrics;
--- a/shalehinge/tests/settings.rs
+++ b/shalehinge/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: given this text, expect that problem, with line and mend.
+//! Validation of settings files: each problem is reported with its line and a suggested fix.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 token_sha256 = 0000000000000000000000000000000000000000000000000000000000000000
 ";
 
-/// The problems of a file, as `line: message; mend`.
+/// Returns the problems in a file, each as `line: message; suggested fix`.
 fn problems(text: &str) -> Vec<String> {
     match Settings::parse("entry.ini", text) {
         Ok(_) => Vec::new(),
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_short_file_takes_the_defaults() {
-    let settings = Settings::parse("entry.ini", GOOD).expect("in order");
+    let settings = Settings::parse("entry.ini", GOOD).expect("valid settings");
     assert_eq!(settings.core, CoreSettings::default());
     assert_eq!(settings.daemon.limits, LimitSettings::default());
 }
@@ -42,7 +42,7 @@
 #[test]
 fn the_example_names_every_key_with_its_default() {
     let text = include_str!("../../docs/example.ini");
-    let settings = Settings::parse("example.ini", text).expect("in order");
+    let settings = Settings::parse("example.ini", text).expect("valid settings");
     assert_eq!(settings.core, CoreSettings::default());
     assert_eq!(settings.daemon.limits, LimitSettings::default());
 }
@@ -53,7 +53,7 @@
     assert_eq!(
         problems(&text),
         [
-            "13: there is no key \"terms\" in [lease]; the keys of [lease] are interval, margin, term"
+            "13: unknown key \"terms\" in [lease]; the valid keys in [lease] are interval, margin, term"
         ]
     );
 }
@@ -61,7 +61,7 @@
 #[test]
 fn an_unknown_section_is_named() {
     let text = format!("{GOOD}[leases]\nterm = 6s\n");
-    assert!(problems(&text)[0].starts_with("12: there is no section [leases]"));
+    assert!(problems(&text)[0].starts_with("12: unknown section [leases]"));
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let text = format!("{GOOD}[lease]\nterm = 6 parsecs\n");
     let problem = &problems(&text)[0];
     assert!(
-        problem.starts_with("13: term can't be \"6 parsecs\""),
+        problem.starts_with("13: invalid value \"6 parsecs\" for term"),
         "{problem}"
     );
     assert!(problem.contains("500ms"), "{problem}");
@@ -97,20 +97,20 @@
 #[test]
 fn relays_without_split_feeds_are_refused() {
     let text = format!("{GOOD}[learning]\nrelays = yes\n");
-    assert!(problems(&text)[0].contains("relays = yes needs feeds = split"));
+    assert!(problems(&text)[0].contains("relays = yes requires feeds = split"));
     let text = format!("{GOOD}[learning]\nrelays = yes\nfeeds = split\n");
     assert_eq!(problems(&text), Vec::<String>::new());
 }
 
 #[test]
 fn text_that_is_no_ini_is_told_with_its_line() {
-    assert!(problems("[daemon\nname = x\n")[0].contains("this is not INI"));
+    assert!(problems("[daemon\nname = x\n")[0].contains("invalid INI"));
 }
 
-/// How long keys count with these lines in `[learning]`.
+/// Returns how long API keys stay valid with these lines in section `[learning]`.
 fn keys_valid_for(lines: &str) -> Option<Duration> {
     let text = format!("{GOOD}[learning]\n{lines}");
-    let settings = Settings::parse("entry.ini", &text).expect("in order");
+    let settings = Settings::parse("entry.ini", &text).expect("valid settings");
     settings.core.learning.keys_valid_for()
 }
 
@@ -132,5 +132,5 @@
 #[test]
 fn strict_revocation_without_its_time_is_refused() {
     let text = format!("{GOOD}[learning]\nstrict_revocation = yes\n");
-    assert!(problems(&text)[0].contains("strict_revocation needs revoke_within"));
+    assert!(problems(&text)[0].contains("strict_revocation requires revoke_within"));
 }
