--- a/shalehinge/tests/always.rs
+++ b/shalehinge/tests/always.rs
@@ -1,8 +1,7 @@
-//! Stateful fuzzing of what must always hold: random sequences of failures and
-//! calls over a small fleet, with the oracle asked after each step.
+//! Stateful fuzzing of the system's invariants: random sequences of failures and calls on a small
+//! simulated fleet, with the invariants checked after each step.
 //!
-//! Seeds are fixed here. `FUZZ_SEEDS=FROM..TO cargo test --test always --
-//! --ignored` runs others.
+//! Seeds are fixed here. `FUZZ_SEEDS=FROM..TO cargo test --test always -- --ignored` runs others.
 
 mod support;
 
@@ -12,10 +11,10 @@
 use support::oracle::Activity;
 use support::world::World;
 
-/// Sequences run by the normal test command.
+/// Number of sequences in a normal test run.
 const SEEDS: u64 = 120;
 
-/// Runs one sequence and says what was violated.
+/// Runs one sequence. Returns the simulated time and the activity, or the first violation.
 fn run(seed: u64) -> Result<(Duration, Activity), String> {
     let mut world = World::serving(seed);
     for operation in sequence(seed) {
@@ -42,7 +41,7 @@
     let time: Duration = passed().map(|(time, _)| *time).sum();
     let activity = passed().fold(Activity::default(), |sum, (_, one)| sum + *one);
     println!(
-        "{} sequences, {time:?} of their own time, {activity:?}",
+        "{} sequences, {time:?} of simulated time, {activity:?}",
         results.len()
     );
     assert!(failures.is_empty(), "{failures:#?}");
@@ -58,7 +57,7 @@
 fn what_must_hold_holds_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..2000".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
-    let number = |text: &str| text.parse::<u64>().expect("a whole number");
+    let number = |text: &str| text.parse::<u64>().expect("an integer");
     run_all(number(from)..number(to));
 }
 
--- a/shalehinge/tests/always_restored.rs
+++ b/shalehinge/tests/always_restored.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing beside a platform that is restored from copies, with the oracle asked after each
-//! step.
+//! Stateful fuzzing with a platform that is restored from backups: a restore loses writes and
+//! reuses their version numbers in a new era. The invariants are checked after each step.
 //!
 //! Seeds are fixed here. `FUZZ_SEEDS=FROM..TO cargo test --test always_restored -- --ignored`
 //! runs others.
@@ -13,14 +13,14 @@
 use support::operations::{Operation, sequence};
 use support::world::World;
 
-/// Sequences run by the normal test command.
+/// Number of sequences in a normal test run, over both tests.
 const SEEDS: u64 = 160;
-/// Time in which daemons that live write again what a copy lacks.
+/// Time within which running daemons rewrite what a restored backup lacks.
 const REWRITTEN_WITHIN: Duration = Duration::from_secs(4);
-/// Kinds of requests from here on carry no key.
+/// Request kinds from this one on carry no idempotency key.
 const KINDS_WITH_KEY: u8 = 2;
 
-/// Whether a daemon may be unable to write again what it wrote since the copy.
+/// Whether the operation may prevent a daemon from rewriting what it wrote since the backup.
 fn disturbs_daemons(operation: Operation) -> bool {
     matches!(
         operation,
@@ -33,7 +33,7 @@
     )
 }
 
-/// The same operation with requests that carry no key.
+/// Replaces a request or a burst by one request without an idempotency key.
 fn without_keys(operation: Operation) -> Operation {
     match operation {
         Operation::Request { daemon, kind, key } => {
@@ -48,8 +48,9 @@
     }
 }
 
-/// A world with copies; requests have keys only in one where no daemon is disturbed between a copy
-/// and the time in which what it lacks is written again.
+/// A sequence with backups and restores. Requests carry idempotency keys only if no daemon is
+/// disturbed from a backup until what it lacks has been rewritten, as a claim that is lost
+/// together with its daemon may let the key run again.
 struct Run {
     world: World,
     rng: SmallRng,
@@ -119,9 +120,9 @@
     let results: Vec<_> = seeds.map(run).collect();
     let failures: Vec<&String> = results.iter().filter_map(|r| r.as_ref().err()).collect();
     let restores: usize = results.iter().filter_map(|r| r.as_ref().ok()).sum();
-    println!("{} sequences, {restores} copies", results.len());
+    println!("{} sequences, {restores} restores", results.len());
     assert!(failures.is_empty(), "{failures:#?}");
-    assert!(restores > results.len(), "too little happened: {restores}");
+    assert!(restores > results.len(), "too few restores: {restores}");
 }
 
 #[test]
--- a/shalehinge/tests/support/apply.rs
+++ b/shalehinge/tests/support/apply.rs
@@ -1,4 +1,4 @@
-//! Operations as they happen to the world, and the checks after each step.
+//! Applies operations to the world, and checks the invariants after each step.
 
 use std::time::Duration;
 
@@ -19,10 +19,11 @@
 use super::platform::Fault;
 use super::world::{CUSTOMER, MODEL, STEP, World};
 
-/// Keys that callers use, few so that they meet.
+/// Number of idempotency keys that callers use; few, so that requests collide.
 const KEYS: u8 = 6;
 
 impl World {
+    /// Applies one operation, then advances by one step.
     pub fn apply(&mut self, operation: Operation) {
         let (entry_count, host_count) = (self.entries.len(), self.hosts.len());
         let entry = |number: u8| usize::from(number) % entry_count;
@@ -117,7 +118,8 @@
 
     // --- callers ---
 
-    /// A caller's request; kinds 0 and 1 have a key, 2 may not be repeated.
+    /// Sends a caller's request, unless the daemon is not running. Kinds 0 and 1 carry an
+    /// idempotency key, kind 2 has none and is not repeatable, kind 3 is repeatable.
     pub fn request(&mut self, index: usize, kind: u8, key: u8) -> Option<CallerRequest> {
         if !self.entries[index].runs() {
             return None;
@@ -161,7 +163,8 @@
         Some(caller)
     }
 
-    /// Ends of attempts that belong to other requests, or to none.
+    /// Sends the daemon completions of attempts for requests that they don't belong to, and of an
+    /// attempt that doesn't exist.
     fn confuse(&mut self, index: usize) {
         let entry = &self.entries[index];
         let run = entry.run;
@@ -215,6 +218,7 @@
         }
     }
 
+    /// Sends an operator call to a daemon; `operation` is the one that a confirm would apply.
     pub fn operate(&mut self, index: usize, call: OperatorCall, operation: Option<OperationId>) {
         if !self.entries[index].runs() {
             return;
@@ -225,12 +229,12 @@
         self.give(index, Event::Operator { call_id, call });
     }
 
-    /// Confirms a plan that was made before, under an operation of its own.
+    /// Confirms an earlier plan under a new operation ID. Returns `None` if there is no plan.
     pub fn confirm(&mut self, index: usize, plan: usize) -> Option<OperationId> {
         if self.plans.is_empty() {
             return None;
         }
-        // One of the newest three, so that some are in date and some race.
+        // One of the three newest plans, so that some are up to date and some conflict.
         let newest = self.plans.len().min(3);
         let plan = self.plans[self.plans.len() - 1 - plan % newest].clone();
         let operation = OperationId(1_000_000 + self.next_operation);
@@ -244,6 +248,7 @@
         Some(operation)
     }
 
+    /// Records a daemon's answer to an operator call.
     pub fn answer_operator(
         &mut self,
         index: usize,
@@ -272,6 +277,7 @@
 
     // --- checks ---
 
+    /// Checks all invariants.
     pub fn check(&mut self) {
         let is_disturbed = !self.cut.is_empty()
             || !self.platform_cut.is_empty()
@@ -304,7 +310,8 @@
         }
     }
 
-    /// At most one daemon holds a domain, by their own clocks, frozen ones too.
+    /// Checks that at most one daemon holds the lease of a failure domain according to its own
+    /// clock, including frozen daemons.
     fn check_leases(&mut self) {
         for domain in &self.domains {
             let holders: Vec<&str> = self
@@ -319,13 +326,14 @@
                 .map(|entry| entry.name.as_str())
                 .collect();
             if holders.len() > 1 {
-                let text = format!("{domain} is held by {holders:?}");
+                let text = format!("the lease of {domain} is held by {holders:?}");
                 self.oracle.violation(text);
             }
         }
     }
 
-    /// The platform is restored from its copy; whoever writes the host list writes it again.
+    /// Restores the platform from its backup, if there is one. Pending watches fail, and the host
+    /// list is written again by its writer.
     pub fn restore_platform(&mut self) {
         if !self.platform.restore() {
             return;
@@ -341,7 +349,7 @@
         self.oracle.config_written_at = self.now;
     }
 
-    /// Everything heals; whoever is down starts again.
+    /// Removes all faults and restarts all hosts and daemons.
     pub fn heal(&mut self) {
         self.cut.clear();
         self.platform_cut.clear();
--- a/shalehinge/tests/support/engines.rs
+++ b/shalehinge/tests/support/engines.rs
@@ -1,4 +1,4 @@
-//! Hosts in memory, with the engine state of the stand-in.
+//! Simulated hosts with the engine state of the stand-in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use standin::engine::model::EngineParameters;
 use standin::engine::state::HostEngine;
 
-/// A host and its engine.
+/// A simulated host and its engine.
 pub struct FakeHost {
     pub id: HostId,
     pub address: SocketAddr,
@@ -17,9 +17,9 @@
     pub is_alive: bool,
     pub is_frozen: bool,
     pub engine: HostEngine,
-    /// When the load that runs will be done.
+    /// Number of the load in progress, and when it finishes.
     pub loads_until: Option<(u64, Duration)>,
-    /// Attempts that run, and when each will be done.
+    /// Running attempts, and when each finishes.
     pub running: BTreeMap<AttemptId, Duration>,
 }
 
@@ -38,11 +38,12 @@
         }
     }
 
+    /// Whether the host is neither down nor frozen.
     pub fn runs(&self) -> bool {
         self.is_alive && !self.is_frozen
     }
 
-    /// Everything in memory is gone.
+    /// Takes the host down; its state is lost.
     pub fn kill(&mut self) {
         let checks_fences = self.engine.checks_fences;
         let parameters = EngineParameters::default();
@@ -53,7 +54,7 @@
         self.running.clear();
     }
 
-    /// Whether it is a ready member of the group.
+    /// Whether the host is a running, ready member of the group.
     pub fn is_ready_in(&self, group: GroupNumber) -> bool {
         let in_group = self
             .engine
--- a/shalehinge/tests/support/entry.rs
+++ b/shalehinge/tests/support/entry.rs
@@ -1,4 +1,4 @@
-//! One entry host: a core with its clock, and what its shell keeps.
+//! A simulated entry host: a daemon core with its clock, and the state of the driver around it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,24 +15,29 @@
 use super::oracle::CallerRequest;
 use super::world::MODEL;
 
+/// An entry host.
 pub struct Entry {
     pub name: DaemonId,
     pub domain: FailureDomain,
     pub address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
+    /// The daemon; `None` while it is down.
     pub core: Option<Daemon>,
     pub is_frozen: bool,
     pub is_stopping: bool,
-    /// Counts the runs; part of the incarnation.
+    /// Number of times that the daemon was started; part of the incarnation.
     pub run: u64,
+    /// Simulated time of the last start.
     pub started_at: Duration,
-    /// How fast its clock goes against the world's.
+    /// Rate of the daemon's clock relative to simulated time.
     pub rate: f64,
-    /// Events that came while it was frozen.
+    /// Events that arrived while the daemon was frozen.
     pub inbox: Vec<Event>,
-    /// Actions decided and not yet carried out.
+    /// Actions that were decided but not executed yet.
     pub outbox: Vec<Action>,
+    /// Requests in progress.
     pub requests: BTreeMap<RequestId, CallerRequest>,
+    /// Attempts in progress.
     pub running: BTreeMap<AttemptId, RequestId>,
     pub next_request: u64,
 }
@@ -58,7 +63,7 @@
         }
     }
 
-    /// Starts with empty memory.
+    /// Starts the daemon with empty state, unless it is running.
     pub fn start(&mut self, now: Duration) {
         if self.core.is_some() {
             return;
@@ -79,7 +84,8 @@
         self.core = Some(Daemon::new(CoreSettings::default(), identity, seed));
     }
 
-    /// Memory and connections are gone. Says which requests lost their daemon.
+    /// Kills the daemon; state and connections are lost. Returns the requests that were in
+    /// progress.
     pub fn kill(&mut self) -> Vec<CallerRequest> {
         self.core = None;
         self.is_frozen = false;
@@ -89,17 +95,18 @@
         std::mem::take(&mut self.requests).into_values().collect()
     }
 
+    /// Whether the daemon is neither down nor frozen.
     pub fn runs(&self) -> bool {
         self.core.is_some() && !self.is_frozen
     }
 
-    /// Its monotonic clock, which goes on while it is frozen.
+    /// Returns the daemon's monotonic clock, which advances while the daemon is frozen.
     pub fn clock(&self, now: Duration) -> Timestamp {
         let since_start = now.saturating_sub(self.started_at);
         Timestamp::from_duration(since_start.mul_f64(self.rate))
     }
 
-    /// Whether it would send to so many replicas.
+    /// Whether at least this many replicas of the model are eligible for requests.
     pub fn sees(&self, replicas: usize, now: Duration) -> bool {
         let target = Target::Model(ModelName::new(MODEL));
         let core = self.core.as_ref();
--- a/shalehinge/tests/support/fabric.rs
+++ b/shalehinge/tests/support/fabric.rs
@@ -1,4 +1,4 @@
-//! The hosts' side of the world: status, orders, attempts, and what ends them.
+//! How simulated hosts handle messages: status requests, orders and attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     Attempt(Attempt),
 }
 
-/// A request that runs at a host.
+/// An attempt that is running at a host.
 pub struct Executing {
     pub entry: usize,
     pub run: u64,
@@ -38,6 +38,7 @@
 }
 
 impl World {
+    /// Schedules a message to the host at an address; dropped if there is none.
     pub fn send_to_host(
         &mut self,
         entry: usize,
@@ -58,6 +59,7 @@
         self.send_in(delay, delivery);
     }
 
+    /// Handles a message that arrives at a host.
     pub fn at_host(&mut self, entry: usize, run: u64, host: usize, message: HostMessage) {
         let is_reached = self.hosts[host].is_alive && {
             let domain = self.hosts[host].domain.clone();
@@ -109,14 +111,14 @@
         reply
     }
 
-    /// A host is never ordered into a group while it is in another, and a
-    /// planned retirement breaks off nothing.
+    /// Checks that a host is never ordered into a group while it is in another, and that retiring
+    /// a group aborts no requests.
     fn check_order(&mut self, host: usize, order: &Order) {
         let engine = &self.hosts[host].engine;
         let current = engine.membership.as_ref().map(|m| m.group);
         let other = current.filter(|group| *group != order.group);
         let is_load = matches!(order.command, Command::Load(_));
-        // An order into an older group is refused by the fence.
+        // A host that checks fencing tokens rejects an order into an older group.
         let other = other.filter(|other| is_load && *other < order.group && engine.checks_fences);
         if let Some(other) = other {
             let id = &self.hosts[host].id;
@@ -144,13 +146,14 @@
                 && host.is_ready_in(order.group)
         });
         if runs_there {
-            let text = format!("retiring {:?} broke off requests", order.group);
+            let text = format!("retiring {:?} aborted requests", order.group);
             self.oracle.violation(text);
         }
     }
 
+    /// Sends an attempt to its upstream.
     pub fn send_attempt(&mut self, entry: usize, run: u64, attempt: Attempt) {
-        // The shell's last look at the evidence.
+        // The driver checks the evidence again right before it sends.
         if self.entries[entry].clock(self.now) >= attempt.valid_until {
             self.end_attempt(entry, run, &attempt, AttemptEnd::NotSent, STEP);
             return;
@@ -200,7 +203,7 @@
             return;
         }
         if is_abandoned && self.rng.random_bool(0.5) {
-            // The engine may see that the connection is closed, or not.
+            // The engine may or may not notice that the connection was closed.
             return;
         }
         if let Some(caller) = self.entries[entry].requests.get(&attempt.request).copied() {
@@ -226,6 +229,7 @@
         });
     }
 
+    /// Schedules the end of an attempt for its daemon.
     pub fn end_attempt(
         &mut self,
         entry: usize,
@@ -242,7 +246,8 @@
         self.send_to_entry(delay, entry, run, event);
     }
 
-    /// Loads and requests that are done, and what rank 0 sees of its members.
+    /// Finishes loads and requests that are due, and updates what each rank 0 knows of its
+    /// members.
     pub fn step_hosts(&mut self) {
         for index in 0..self.hosts.len() {
             self.finish_load(index);
@@ -305,13 +310,13 @@
         }
         let end = AttemptEnd::Completed { output_tokens: 8 };
         self.end_attempt(entry, run, &attempt, end, STEP);
-        // Some answers come twice.
+        // Some responses are delivered twice.
         if self.rng.random_bool(0.1) {
             self.end_attempt(entry, run, &attempt, end, STEP * 3);
         }
     }
 
-    /// Requests whose engine broke them off are lost.
+    /// Ends attempts that the engine of a host aborted as lost.
     fn lose_broken(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if host.engine.model.is_idle() {
@@ -349,7 +354,7 @@
         }
     }
 
-    /// Notes which groups are complete in truth, whatever anyone believes.
+    /// Records which groups are actually complete, independent of what daemons know.
     fn note_complete(&mut self) {
         let mut complete = Vec::new();
         for host in &self.hosts {
@@ -374,13 +379,14 @@
         }
     }
 
+    /// Takes a host down; attempts that run there are lost.
     pub fn kill_host(&mut self, index: usize) {
         self.hosts[index].kill();
         self.lose_broken(index);
     }
 }
 
-/// Sequences in an engine are named by numbers.
+/// Maps an attempt to the number of its sequence in the engine.
 fn sequence_id(attempt: AttemptId) -> u64 {
     attempt.incarnation.0.rotate_left(32) ^ attempt.sequence
 }
--- a/shalehinge/tests/support/oracle.rs
+++ b/shalehinge/tests/support/oracle.rs
@@ -1,4 +1,4 @@
-//! What must always hold, as plain sets and counters.
+//! The test oracle: checks the system's invariants against sets and counters of what happened.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,58 +7,64 @@
 use shalehinge::core::router::request::Outcome;
 use shalehinge::core::types::{FailureDomain, FleetVersion, HostId, OperationId, ReplicaId};
 
-/// Names a caller's request over all daemons.
+/// Identifies a caller's request across all daemons.
 pub type CallerRequest = u64;
 
-/// A group may be sent to for so long after it was last complete: the evidence
-/// counts for 2 s, an engine looks at its members each 100 ms, and messages
-/// take up to 150 ms.
+/// Maximum time after a group was last complete during which requests may be sent to it: evidence
+/// is valid for 2 s, an engine checks its members every 100 ms, and messages take up to 150 ms.
 pub const EVIDENCE_BOUND: Duration = Duration::from_millis(2_600);
-/// A leaving host gets nothing new after so long.
+/// Maximum time after a host was marked as leaving during which it may get new requests.
 pub const LEAVING_BOUND: Duration = Duration::from_secs(5);
-/// An accepted configuration is in force everywhere after so long.
+/// Maximum time until an accepted configuration is in force everywhere.
 pub const CONFIG_BOUND: Duration = Duration::from_secs(3);
 
-/// After an outage or a cut: a call that was lost in it is given up after 2 s,
-/// and made again after a pause of up to 1 s.
+/// Maximum recovery time after an outage or a partition: a call that was lost times out after 2 s
+/// and is repeated after a pause of up to 1 s.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(6);
 
-/// What is known of a caller's request.
+/// What happened to a caller's request.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
+    /// Idempotency key.
     pub key: Option<KeyHash>,
     pub repeatable: bool,
+    /// Number of times that it began to run at an upstream.
     pub executions: u32,
-    /// Its own whole answers that went back.
+    /// Number of complete responses that were sent back for it.
     pub whole_answers: u32,
     pub outcome: Option<Outcome>,
 }
 
+/// Records what happened and the violations of invariants.
 #[derive(Default)]
 pub struct Oracle {
     pub violations: Vec<String>,
     pub requests: BTreeMap<CallerRequest, RequestFacts>,
-    /// Executions by key.
+    /// Number of executions per idempotency key.
     pub by_key: BTreeMap<KeyHash, u32>,
-    /// When each group was last seen complete.
+    /// When each group was last complete.
     pub complete_at: BTreeMap<ReplicaId, Duration>,
     /// When each host was marked as leaving.
     pub leaving_at: BTreeMap<HostId, Duration>,
-    /// Since when nothing is cut, frozen, down or newly dead.
+    /// Time since which there has been no partition, frozen daemon, platform fault, or start or
+    /// end of a daemon.
     pub calm_since: Duration,
+    /// Time of the last write of the configuration.
     pub config_written_at: Duration,
-    /// Highest configuration seen by each run of a daemon.
+    /// Newest configuration in force so far, per daemon and run.
     pub config_seen: BTreeMap<(usize, u64), FleetVersion>,
     pub refused_operations: BTreeSet<OperationId>,
     pub accepted_operations: BTreeSet<OperationId>,
 }
 
 impl Oracle {
+    /// Records a violation.
     pub fn violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
-    /// A request began to run at an upstream.
+    /// Records that a request began to run at an upstream. Violated if a request that is not
+    /// repeatable, or a key, runs twice, or a request runs after the answer that it was not run.
     pub fn on_execution(&mut self, request: CallerRequest) {
         let Some(facts) = self.requests.get_mut(&request) else {
             return;
@@ -84,7 +90,8 @@
         }
     }
 
-    /// A request got its final answer.
+    /// Records the final answer to a request. Violated by a second answer, by `NotRun` after an
+    /// execution, and by `Completed` without a complete response of its own.
     pub fn on_answer(&mut self, request: CallerRequest, outcome: Outcome) {
         let Some(facts) = self.requests.get_mut(&request) else {
             return;
@@ -99,12 +106,13 @@
         }
         if outcome == Outcome::Completed && whole == 0 {
             self.violation(format!(
-                "request {request} was completed by an answer not its own"
+                "request {request} was completed by the response to another request"
             ));
         }
     }
 
-    /// A daemon sends a request to a group.
+    /// Checks that a group that a request is sent to was complete recently and has no member that
+    /// has long been leaving.
     pub fn on_send(&mut self, now: Duration, replica: &ReplicaId, members: &[HostId]) {
         let last = self.complete_at.get(replica).copied();
         if last.is_none_or(|last| now > last + EVIDENCE_BOUND) {
@@ -124,7 +132,8 @@
         }
     }
 
-    /// Assignments are looked at in every version.
+    /// Checks that each assignment is valid and that no host is assigned in two failure domains.
+    /// Called after each step.
     pub fn check_assignments(&mut self, objects: &BTreeMap<ObjectKey, ObjectValue>) {
         let mut seen: BTreeMap<HostId, FailureDomain> = BTreeMap::new();
         for (key, value) in objects {
@@ -146,7 +155,8 @@
         }
     }
 
-    /// A daemon's configuration only moves forward, and arrives in time.
+    /// Checks that a daemon's configuration never goes back to an older version, and that a new
+    /// one is in force in time.
     pub fn check_config(
         &mut self,
         now: Duration,
@@ -160,7 +170,7 @@
         if in_force < *highest {
             let highest = *highest;
             self.violations.push(format!(
-                "daemon {daemon} went from {highest:?} back to {in_force:?}"
+                "daemon {daemon} reverted from configuration {highest:?} to {in_force:?}"
             ));
             return;
         }
@@ -175,7 +185,8 @@
         }
     }
 
-    /// What operators were told against what took effect.
+    /// Checks the answers to operators against the changes that took effect: refused ones never,
+    /// and accepted ones exactly once.
     pub fn check_operations(&mut self, applied: &[OperationId]) {
         for operation in applied {
             if self.refused_operations.contains(operation) {
@@ -193,7 +204,7 @@
     }
 }
 
-/// How much happened, to see that the checks had something to check.
+/// Amount of activity, to show that the checks were exercised.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Activity {
     pub requests: usize,
@@ -239,10 +250,10 @@
     }
 }
 
-/// An object as the fake platform holds it.
+/// An object as stored by the fake platform.
 pub type ObjectValue = shalehinge::core::objects::Versioned<Object>;
 
-/// Members of a group, if it stands.
+/// Returns the members of a group; empty if the group doesn't exist.
 pub fn members_of(assignment: &Assignment, replica: &ReplicaId) -> Vec<HostId> {
     let group = assignment.groups.get(&replica.number);
     let members = group.map(|group| group.members.as_slice());
--- a/shalehinge/tests/support/platform.rs
+++ b/shalehinge/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API in memory, with outages and lost answers.
+//! In-memory fake of the platform's object API, with fault injection and restores from a backup.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,36 +7,41 @@
 use shalehinge::core::platform::{NoAnswer, PlatformCall, PlatformReply, PlatformResult};
 use shalehinge::core::types::{OperationId, StoreEra, Version};
 
-/// What the platform does wrong.
+/// An injected fault of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// No fault.
     None,
+    /// No call is answered.
     Down,
-    /// A write takes effect and its answer is lost.
+    /// A write takes effect, but its response is lost.
     LoseAnswer,
     /// A write is lost before it takes effect.
     LoseWrite,
-    /// A write takes effect a second after its caller gave up.
+    /// A write times out for its caller, and takes effect once the fault is removed.
     LateWrite,
 }
 
+/// The fake platform.
 pub struct FakePlatform {
     pub fault: Fault,
     pub objects: BTreeMap<ObjectKey, Versioned<Object>>,
+    /// Writes that have yet to take effect.
     pub late: Vec<PlatformCall>,
-    /// Every operation that ever changed the configuration.
+    /// All operations that changed the configuration, in order.
     pub operations: Vec<OperationId>,
     pub reads: u64,
     pub writes: u64,
+    /// Revision of the store at the last write of each object.
     revisions: BTreeMap<ObjectKey, u64>,
     revision: u64,
     era: u32,
     copy: Option<Copy>,
-    /// Operations that changed the configuration, and the number that each gave it.
+    /// Operations that changed the configuration, with the generation that each produced.
     written: BTreeSet<(OperationId, u64)>,
 }
 
-/// What a copy of the platform holds.
+/// Content of a backup.
 struct Copy {
     objects: BTreeMap<ObjectKey, Versioned<Object>>,
     revisions: BTreeMap<ObjectKey, u64>,
@@ -60,6 +65,7 @@
         }
     }
 
+    /// Handles a call, subject to the injected fault.
     pub fn call(&mut self, call: PlatformCall) -> PlatformResult {
         if self.fault == Fault::Down {
             return Err(NoAnswer);
@@ -95,7 +101,7 @@
         }
     }
 
-    /// Writes whose callers gave up take effect now.
+    /// Applies the delayed writes.
     pub fn land_late_writes(&mut self) {
         for call in std::mem::take(&mut self.late) {
             let _ = self.put(call);
@@ -119,10 +125,11 @@
         Ok(PlatformReply::Written(self.write(key, *object)))
     }
 
+    /// Writes an object unconditionally and returns its new version.
     pub fn write(&mut self, key: ObjectKey, object: Object) -> Version {
         let current = self.objects.get(&key).map_or(0, |o| o.version.number);
         let version = Version::new(self.era(), current + 1);
-        // The same configuration written again, after it was lost, changes nothing.
+        // Rewriting a configuration that a restore lost is not a new change.
         if let Object::Fleet(fleet) = &object
             && let Some(last) = fleet.operations.last()
             && self.written.insert((last, fleet.generation))
@@ -140,7 +147,7 @@
         StoreEra::new(self.era)
     }
 
-    /// Copies all that is kept now.
+    /// Takes a backup of the current content.
     pub fn take_copy(&mut self) {
         self.copy = Some(Copy {
             objects: self.objects.clone(),
@@ -149,8 +156,8 @@
         });
     }
 
-    /// Goes on from the copy, if there is one: what was written since is lost, and its versions are
-    /// given out anew.
+    /// Restores the backup, if there is one, in a new era: later writes are lost, and their
+    /// version numbers are reused. Returns whether there was a backup.
     pub fn restore(&mut self) -> bool {
         let Some(copy) = self.copy.take() else {
             return false;
@@ -181,6 +188,7 @@
         }
     }
 
+    /// Returns the shared objects that changed after a revision.
     pub fn changed(&self, after: Version) -> PlatformReply {
         if after.number > self.revision {
             return PlatformReply::HistoryGone(self.era());
--- a/shalehinge/tests/support/world.rs
+++ b/shalehinge/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Time, network and cores of a small fleet, stepped in one thread.
+//! Simulated time, network and entry hosts of a small fleet, stepped in one thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,15 +25,21 @@
 use super::oracle::{CallerRequest, Oracle};
 use super::platform::{FakePlatform, Fault};
 
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(50);
+/// The only model of the fleet.
 pub const MODEL: &str = "lector-llm";
+/// The only customer of the fleet.
 pub const CUSTOMER: &str = "lecturistas";
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a call to a host or a peer.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 const HOSTS_PER_REPLICA: u32 = 2;
 
-/// A message on its way.
+/// A message in transit.
 pub enum Delivery {
     Entry {
         entry: usize,
@@ -54,6 +60,7 @@
     },
 }
 
+/// A watch that is waiting for a change.
 pub struct PendingWatch {
     pub entry: usize,
     pub run: u64,
@@ -62,7 +69,7 @@
     pub until: Duration,
 }
 
-/// A question to a peer that is not answered yet.
+/// A pull from a peer that has not been answered.
 pub struct PendingPull {
     entry: usize,
     run: u64,
@@ -70,18 +77,22 @@
     until: Duration,
 }
 
+/// The simulated fleet.
 pub struct World {
     pub now: Duration,
     pub platform: FakePlatform,
     pub hosts: Vec<FakeHost>,
     pub entries: Vec<Entry>,
     pub domains: Vec<FailureDomain>,
+    /// Failure domains that are partitioned from the others.
     pub cut: BTreeSet<FailureDomain>,
+    /// Failure domains that are partitioned from the platform.
     pub platform_cut: BTreeSet<FailureDomain>,
     pub oracle: Oracle,
     pub plans: Vec<Plan>,
     pub answers: Vec<(OperationId, OperatorAnswer)>,
     pub rng: SmallRng,
+    /// Messages in transit, by time of delivery and sequence number.
     pub network: BTreeMap<(Duration, u64), Delivery>,
     pub next_message: u64,
     pub next_request: CallerRequest,
@@ -89,14 +100,16 @@
     pub next_pull: u64,
     pub watches: Vec<PendingWatch>,
     pub pulls: BTreeMap<PullId, PendingPull>,
+    /// Operator calls in progress, by daemon, with the operation that each confirms.
     pub operator_calls: BTreeMap<(usize, OperatorCallId), Option<OperationId>>,
     pub deadlines: BTreeMap<CallerRequest, Duration>,
+    /// Attempts that are running at hosts.
     pub executing: Vec<Executing>,
 }
 
 impl World {
-    /// Two failure domains with two entry hosts and five hosts each, one of
-    /// them without a check of fences. Nothing is configured yet.
+    /// Creates two failure domains, each with two entry hosts and five hosts, one of which doesn't
+    /// check fencing tokens. Nothing is configured or started.
     pub fn empty(seed: u64) -> Self {
         let domains = vec![FailureDomain::new("talca-a"), FailureDomain::new("talca-b")];
         let mut hosts = Vec::new();
@@ -144,8 +157,8 @@
         world
     }
 
-    /// The same fleet with a customer, a model of two replicas a failure
-    /// domain, and everything formed.
+    /// Creates the same fleet with a customer and a model of two replicas per failure domain, and
+    /// steps until all replicas serve.
     pub fn serving(seed: u64) -> Self {
         let mut world = Self::empty(seed);
         world.configure();
@@ -203,12 +216,13 @@
         list
     }
 
+    /// Writes the host list to the platform.
     pub fn write_host_list(&mut self) {
         let list = self.host_list();
         self.platform.write(ObjectKey::Hosts, Object::Hosts(list));
     }
 
-    /// Serving groups, by the assignments in the platform.
+    /// Returns the number of serving groups, according to the assignments on the platform.
     pub fn serving_groups(&self) -> usize {
         let values = self.platform.objects.values();
         let assignments = values.filter_map(|object| match &object.value {
@@ -223,6 +237,7 @@
 
     // --- time ---
 
+    /// Steps for a span of simulated time.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -230,15 +245,16 @@
         }
     }
 
-    /// Steps until the condition holds, for two minutes at most.
+    /// Steps until the condition holds; panics after two minutes of simulated time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let end = self.now + Duration::from_secs(120);
         while !condition(self) {
-            assert!(self.now < end, "waited too long: {what}");
+            assert!(self.now < end, "timed out waiting for: {what}");
             self.step();
         }
     }
 
+    /// Advances by one step: delivers messages, runs daemons and hosts, and checks the invariants.
     pub fn step(&mut self) {
         self.now += STEP;
         self.deliver_due();
@@ -262,16 +278,19 @@
         }
     }
 
+    /// Schedules a delivery.
     pub fn send_in(&mut self, delay: Duration, delivery: Delivery) {
         self.next_message += 1;
         let key = (self.now + delay, self.next_message);
         self.network.insert(key, delivery);
     }
 
+    /// Returns a random network delay.
     pub fn delay(&mut self) -> Duration {
         STEP * self.rng.random_range(0..=2)
     }
 
+    /// Schedules an event for a daemon; it is dropped if the daemon restarts before.
     pub fn send_to_entry(&mut self, delay: Duration, entry: usize, run: u64, event: Event) {
         let event = Box::new(event);
         self.send_in(delay, Delivery::Entry { entry, run, event });
@@ -299,7 +318,7 @@
         }
     }
 
-    /// Gives an event to a core, or keeps it while the core is frozen.
+    /// Passes an event to a daemon core, or queues it while the daemon is frozen.
     pub fn give(&mut self, index: usize, event: Event) {
         let now = self.now;
         let entry = &mut self.entries[index];
@@ -316,7 +335,7 @@
         core.handle(clock, event, &mut entry.outbox);
     }
 
-    // --- what happens to entry hosts ---
+    // --- entry hosts ---
 
     pub fn start(&mut self, index: usize) {
         let now = self.now;
@@ -339,7 +358,7 @@
         }
         self.entries[index].is_frozen = false;
         self.disturb();
-        // What it had decided before goes out first, as nothing happened.
+        // Actions that were decided before the freeze are executed first.
         self.carry_out(index);
         for event in std::mem::take(&mut self.entries[index].inbox) {
             self.give(index, event);
@@ -354,6 +373,7 @@
         }
     }
 
+    /// Records a disturbance, so that time limits count from now.
     pub fn disturb(&mut self) {
         self.oracle.calm_since = self.now;
     }
@@ -369,7 +389,7 @@
         for action in actions {
             self.act(index, action);
         }
-        // The process ends once what it decided by then has gone out.
+        // The process exits after it has executed all actions decided so far.
         if has_stopped {
             self.stopped(index);
         }
@@ -405,7 +425,7 @@
                 valid_until,
                 ..
             } => {
-                // The shell's last look at the lease.
+                // The driver checks the lease again right before it sends an order.
                 let asked_at = self.entries[index].clock(self.now);
                 if asked_at < valid_until {
                     let message = HostMessage::Order { order, asked_at };
@@ -415,7 +435,7 @@
             Action::Send(attempt) => self.send_attempt(index, run, attempt),
             Action::Abandon(attempt) => self.abandon(index, attempt),
             Action::CheckUpstream { upstream, .. } => {
-                // As if each lost attempt were a crash: nothing may hang on it.
+                // Every lost attempt is reported as a crash: no invariant may depend on this.
                 let is_gone = true;
                 let event = Event::UpstreamChecked { upstream, is_gone };
                 self.send_to_entry(Duration::ZERO, index, run, event);
@@ -428,6 +448,7 @@
         }
     }
 
+    /// Whether an entry host can exchange messages with a failure domain.
     pub fn reaches(&self, index: usize, other: &FailureDomain) -> bool {
         let own = &self.entries[index].domain;
         own == other || (!self.cut.contains(own) && !self.cut.contains(other))
@@ -534,7 +555,7 @@
         self.send_to_entry(delay, pull.entry, pull.run, event);
     }
 
-    /// Questions whose peer died, or was cut off before it answered, are given up.
+    /// Ends pulls that timed out, as their peer died or was partitioned before it answered.
     fn give_up_pulls(&mut self) {
         let now = self.now;
         let pulls = std::mem::take(&mut self.pulls);
@@ -583,7 +604,7 @@
             return;
         }
         let run = self.entries[target].run;
-        // Some messages come twice.
+        // Some messages are delivered twice.
         let copies = 1 + u32::from(self.rng.random_bool(0.2));
         for _ in 0..copies {
             let delay = self.delay();
@@ -597,10 +618,10 @@
         };
         let caller = self.entries[index].requests.get(&request).copied();
         let deadline = caller.and_then(|caller| self.deadlines.get(&caller).copied());
-        // Clocks differ a little.
+        // Clock rates differ slightly.
         let slack = Duration::from_millis(500);
         if deadline.is_some_and(|deadline| self.now + slack < deadline) {
-            let text = format!("daemon {index} broke off request {caller:?} before its deadline");
+            let text = format!("daemon {index} aborted request {caller:?} before its deadline");
             self.oracle.violation(text);
         }
     }
