--- a/shalehinge/src/bin/shalehinged.rs
+++ b/shalehinge/src/bin/shalehinged.rs
@@ -28,7 +28,7 @@
         return Ok(());
     }
     let daemon = &settings.daemon;
-    logs::start(daemon.log_file.as_deref(), daemon.log_level).into_diagnostic()?;
+    logs::init(daemon.log_file.as_deref(), daemon.log_level).into_diagnostic()?;
     smol::block_on(run(settings))?;
     Ok(())
 }
--- a/shalehinge/src/cli/mod.rs
+++ b/shalehinge/src/cli/mod.rs
@@ -71,7 +71,7 @@
     match arguments.command {
         Command::Status(_) => status(&client, json).await,
         Command::Confirm(confirm) => confirm_plan(&client, &confirm.plan, json).await,
-        other => match change_of(other) {
+        other => match requested_change(other) {
             Ok((change, save)) => plan(&client, change, &save, json).await,
             Err(result) => result,
         },
@@ -90,7 +90,7 @@
 }
 
 /// Returns the change that a command requests, and the path to save its plan to.
-fn change_of(command: Command) -> Result<(Change, std::path::PathBuf), CommandResult> {
+fn requested_change(command: Command) -> Result<(Change, std::path::PathBuf), CommandResult> {
     Ok(match command {
         Command::Intent(intent) => {
             let change = Change::Intent {
@@ -154,12 +154,12 @@
 }
 
 fn read_json<T: serde::de::DeserializeOwned>(path: &Path, what: &str) -> Result<T, CommandResult> {
-    let shown = path.display();
+    let display = path.display();
     let text = fs::read_to_string(path)
-        .map_err(|error| CommandResult::usage(format!("failed to read {shown}: {error}")))?;
+        .map_err(|error| CommandResult::usage(format!("failed to read {display}: {error}")))?;
     serde_json::from_str(&text).map_err(|error| {
         CommandResult::usage(format!(
-            "{shown} is not {what}: {error}; correct the file there"
+            "{display} is not {what}: {error}; correct the file there"
         ))
     })
 }
@@ -167,14 +167,14 @@
 async fn plan(client: &OperatorClient, change: Change, save: &Path, json: bool) -> CommandResult {
     let answer = match client.plan(&change).await {
         Ok(answer) => answer,
-        Err(error) => return call_failed(&error),
+        Err(error) => return call_error_result(&error),
     };
     if let OperatorAnswer::Planned(plan) = &answer
         && let Err(error) = save_plan(plan, save)
     {
         return error;
     }
-    answered(&answer, Some(save), json)
+    answer_result(&answer, Some(save), json)
 }
 
 fn save_plan(plan: &Plan, path: &Path) -> Result<(), CommandResult> {
@@ -193,20 +193,20 @@
         Err(result) => return result,
     };
     let confirm = Confirm {
-        operation: operation_of(&plan),
+        operation: operation_id(&plan),
         base: plan.base,
         digest: plan.digest,
         change: plan.change,
     };
     match client.confirm(&confirm).await {
-        Ok(answer) => answered(&answer, None, json),
-        Err(error) => call_failed(&error),
+        Ok(answer) => answer_result(&answer, None, json),
+        Err(error) => call_error_result(&error),
     }
 }
 
 /// Derives the operation ID from the digest of the plan, so that the daemon recognizes a repeated
 /// confirm of the same plan.
-fn operation_of(plan: &Plan) -> OperationId {
+fn operation_id(plan: &Plan) -> OperationId {
     const DIGITS: usize = 16;
     let digits = plan.digest.get(..DIGITS).unwrap_or_default();
     OperationId(u64::from_str_radix(digits, 16).unwrap_or_default())
@@ -219,11 +219,11 @@
             CommandResult::new(text, ExitCode::Done)
         }
         Ok(status) => CommandResult::new(render::status(&status), ExitCode::Done),
-        Err(error) => call_failed(&error),
+        Err(error) => call_error_result(&error),
     }
 }
 
-fn call_failed(error: &CallError) -> CommandResult {
+fn call_error_result(error: &CallError) -> CommandResult {
     let code = match error {
         CallError::Unauthorized => ExitCode::Unauthorized,
         CallError::Unreachable(_) | CallError::Unreadable => ExitCode::Unavailable,
@@ -233,7 +233,7 @@
     CommandResult::new(error.to_string(), code)
 }
 
-fn answered(answer: &OperatorAnswer, saved: Option<&Path>, json: bool) -> CommandResult {
+fn answer_result(answer: &OperatorAnswer, saved: Option<&Path>, json: bool) -> CommandResult {
     let code = match answer {
         OperatorAnswer::Planned(_) | OperatorAnswer::Confirmed { .. } => ExitCode::Done,
         OperatorAnswer::OutOfDate { .. } => ExitCode::OutOfDate,
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -221,7 +221,7 @@
     /// to come back, where a key that was taken away or a route that is gone would be used.
     /// A daemon that is cut off from all who know the newer one serves on.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
-        let within = self.settings.learning.served_when_superseded();
+        let within = self.settings.learning.superseded_grace_period();
         within.is_some_and(|within| self.superseded.is_known_for(now, within))
     }
 
--- a/shalehinge/src/gateway/answer.rs
+++ b/shalehinge/src/gateway/answer.rs
@@ -354,12 +354,16 @@
             // The caller is gone; the guard says so where that is wanted.
             None => conn.halt(),
             Some(FirstAnswer::Stream) => {
-                self.driver.metrics.first_output(self.came_at.elapsed());
+                self.driver
+                    .metrics
+                    .record_first_output(self.came_at.elapsed());
                 write_stream(conn, self.parts, guard)
             }
             Some(FirstAnswer::Whole(whole, outcome)) => {
                 guard.is_armed = false;
-                self.driver.metrics.first_output(self.came_at.elapsed());
+                self.driver
+                    .metrics
+                    .record_first_output(self.came_at.elapsed());
                 write_whole(conn, whole, outcome)
             }
         }
--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -9,7 +9,7 @@
 use trillium_client::Client;
 
 use super::PlatformClient;
-use super::store_era::exchange_in_era;
+use super::store_era::exchange_with_era;
 use crate::core::fleet_state::ObjectUpdate;
 use crate::core::objects::{Object, ObjectKey, Versioned};
 use crate::core::platform::{NoAnswer, PlatformCall, PlatformReply, PlatformResult, Scope};
@@ -17,7 +17,7 @@
 use crate::utils::http::{AnswerLimits, pooled_client, url};
 
 /// Response header that carries the store era; present on every response.
-pub const ERA: &str = "x-shalehinge-era";
+pub const ERA_HEADER: &str = "x-shalehinge-era";
 /// Comma-separated kinds of the objects that are listed and watched together.
 pub const SHARED_KINDS: &str = "config,hosts,assignments";
 
@@ -62,7 +62,7 @@
 }
 
 /// Returns the key for a kind and name, or `None` for an object that the daemon does not use.
-fn key_of(kind: &str, name: &str) -> Option<ObjectKey> {
+fn parse_key(kind: &str, name: &str) -> Option<ObjectKey> {
     match (kind, name) {
         ("config", "fleet") => Some(ObjectKey::Fleet),
         ("hosts", "all") => Some(ObjectKey::Hosts),
@@ -124,12 +124,12 @@
     async fn get(&self, key: ObjectKey) -> PlatformResult {
         let conn = self.client.get(self.object_url(&key));
         let limits = AnswerLimits::in_all(self.timeout);
-        let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
+        let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
                 let wire: WireObject = parse(&answer.body)?;
                 let version = Version::new(era, wire.version);
-                match decode(&key, wire.value).map_err(|_| unreadable(&key)) {
+                match decode(&key, wire.value).map_err(|_| undecodable(&key)) {
                     Ok(value) => Ok(PlatformReply::Object(Box::new(Versioned {
                         version,
                         value,
@@ -151,7 +151,7 @@
         let body = encode(&object).map_err(|_| NoAnswer)?;
         let conn = self.client.put(url).with_body(body);
         let limits = AnswerLimits::in_all(self.timeout);
-        let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
+        let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
                 let wire: WireVersion = parse(&answer.body)?;
@@ -162,10 +162,10 @@
         }
     }
 
-    async fn objects(&self, path: String, head: Duration) -> PlatformResult {
+    async fn list_objects(&self, path: String, head: Duration) -> PlatformResult {
         let conn = self.client.get(url(self.address, &path));
         let limits = AnswerLimits::of_large(head, self.timeout);
-        let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
+        let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
                 let wire: WireList = parse(&answer.body)?;
@@ -173,7 +173,7 @@
                 Ok(PlatformReply::Objects {
                     revision: Version::new(era, wire.revision),
                     updates: objects
-                        .filter_map(|object| update_of(era, object))
+                        .filter_map(|object| decode_update(era, object))
                         .collect(),
                 })
             }
@@ -182,7 +182,7 @@
         }
     }
 
-    async fn make(self, request: PlatformCall) -> PlatformResult {
+    async fn execute(self, request: PlatformCall) -> PlatformResult {
         match request {
             PlatformCall::Get { key, .. } => self.get(key).await,
             PlatformCall::Put {
@@ -191,23 +191,24 @@
                 object,
             } => self.put(key, expect, *object).await,
             PlatformCall::List { scope, .. } => {
-                let path = format!("/v1/objects?kinds={}", kinds_of(scope));
-                self.objects(path, self.timeout).await
+                let path = format!("/v1/objects?kinds={}", kinds_in_scope(scope));
+                self.list_objects(path, self.timeout).await
             }
             // This API has exact watches only, so a request for a stale one is served exactly.
             PlatformCall::Watch {
                 scope, after, wait, ..
             } => {
-                let (kinds, after, millis) = (kinds_of(scope), after.number, wait.as_millis());
+                let (kinds, after, millis) =
+                    (kinds_in_scope(scope), after.number, wait.as_millis());
                 let path = format!("/v1/watch?kinds={kinds}&after={after}&wait_ms={millis}");
-                self.objects(path, wait + self.timeout).await
+                self.list_objects(path, wait + self.timeout).await
             }
         }
     }
 }
 
 /// Returns the kinds in a scope, in the API's query syntax.
-fn kinds_of(scope: Scope) -> &'static str {
+fn kinds_in_scope(scope: Scope) -> &'static str {
     match scope {
         Scope::Shared => SHARED_KINDS,
         Scope::Configuration => "config",
@@ -217,7 +218,7 @@
 
 impl PlatformClient for HttpPlatform {
     fn call(&self, request: PlatformCall) -> Boxed<PlatformResult> {
-        Box::pin(self.clone().make(request))
+        Box::pin(self.clone().execute(request))
     }
 }
 
@@ -228,14 +229,14 @@
     })
 }
 
-fn unreadable(key: &ObjectKey) -> NoAnswer {
+fn undecodable(key: &ObjectKey) -> NoAnswer {
     log::warn!("platform: failed to decode the value of {key:?}");
     NoAnswer
 }
 
 /// Decodes an object. One that can't be decoded is skipped, so the last valid one stays in force.
-fn update_of(era: StoreEra, wire: WireObject) -> Option<ObjectUpdate> {
-    let key = key_of(&wire.kind, &wire.name)?;
+fn decode_update(era: StoreEra, wire: WireObject) -> Option<ObjectUpdate> {
+    let key = parse_key(&wire.kind, &wire.name)?;
     match decode(&key, wire.value) {
         Ok(object) => Some(ObjectUpdate {
             key,
--- a/shalehinge/src/object_api/store_era.rs
+++ b/shalehinge/src/object_api/store_era.rs
@@ -12,13 +12,13 @@
 /// # Errors
 ///
 /// [`NoAnswer`] if no complete response came within the limits, or its era is invalid.
-pub async fn exchange_in_era(
+pub async fn exchange_with_era(
     conn: Conn,
     limits: AnswerLimits,
     header: &'static str,
 ) -> Result<(StoreEra, WholeAnswer), NoAnswer> {
     let answer = exchange_with_headers(conn, limits).await.ok_or(NoAnswer)?;
-    Ok((reported_era(&answer.headers, header)?, answer))
+    Ok((parse_era(&answer.headers, header)?, answer))
 }
 
 /// Parses the era header. Without the header, the store does not report eras.
@@ -27,7 +27,7 @@
 ///
 /// [`NoAnswer`] if the header is repeated or is not a decimal 32-bit number: the response could
 /// not be ordered relative to others.
-fn reported_era(headers: &Headers, name: &'static str) -> Result<StoreEra, NoAnswer> {
+fn parse_era(headers: &Headers, name: &'static str) -> Result<StoreEra, NoAnswer> {
     let Some(values) = headers.get_values(name) else {
         return Ok(StoreEra::UNREPORTED);
     };
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -27,7 +27,7 @@
 /// Path of the fleet status.
 pub const STATUS_PATH: &str = "/v1/status";
 /// Maximum size of an operator's request body, in bytes.
-const MAX_CALL: u64 = 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 1024 * 1024;
 
 /// Status of the fleet, from the point of view of one daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -135,16 +135,16 @@
             async move { context.status(conn) }
         })
         .get("/metrics", move |conn: Conn| {
-            let mut page = metrics.driver.metrics.page();
-            page.push_str(&store_page(&metrics.driver));
-            page.push_str(&signals_page(&metrics.driver));
+            let mut page = metrics.driver.metrics.render();
+            page.push_str(&store_gauges(&metrics.driver));
+            page.push_str(&upstream_gauges(&metrics.driver));
             async move { conn.ok(page) }
         })
 }
 
 /// Renders gauges of the platform's store: its era, if it reports one, and whether the daemon
 /// still keeps host records from the previous era.
-fn store_page(driver: &Driver) -> String {
+fn store_gauges(driver: &Driver) -> String {
     driver.read(|_, core| {
         let era = core.store_era().and_then(StoreEra::number);
         let era = era.map(|era| format!("shalehinge.platform.era {era}\n"));
@@ -157,7 +157,7 @@
 /// Renders gauges of the signals that upstreams send about themselves, one line each, as known to
 /// this daemon: the request rate per second that the upstream accepts from all daemons together,
 /// the remaining cooldown in seconds, and 1 for an upstream that is leaving.
-fn signals_page(driver: &Driver) -> String {
+fn upstream_gauges(driver: &Driver) -> String {
     driver.read(|now, core| {
         let router = core.router();
         let limited = router.limited_upstreams();
@@ -183,46 +183,46 @@
 }
 
 impl Context {
-    fn is_allowed(&self, conn: &Conn) -> bool {
+    fn is_authorized(&self, conn: &Conn) -> bool {
         bearer_sha256(conn).is_some_and(|hash| hash.eq_ignore_ascii_case(&self.token_sha256))
     }
 
     async fn plan(&self, conn: Conn) -> Conn {
-        self.operate(conn, |body| {
+        self.handle_call(conn, |body| {
             serde_json::from_slice::<Change>(body).map(OperatorCall::Plan)
         })
         .await
     }
 
     async fn confirm(&self, conn: Conn) -> Conn {
-        self.operate(conn, |body| {
+        self.handle_call(conn, |body| {
             serde_json::from_slice::<Confirm>(body).map(OperatorCall::Confirm)
         })
         .await
     }
 
-    async fn operate(
+    async fn handle_call(
         &self,
         mut conn: Conn,
         parse: impl Fn(&[u8]) -> serde_json::Result<OperatorCall>,
     ) -> Conn {
-        if !self.is_allowed(&conn) {
+        if !self.is_authorized(&conn) {
             return unauthorized(conn);
         }
-        let body = conn.request_body().with_max_len(MAX_CALL);
+        let body = conn.request_body().with_max_len(MAX_BODY_BYTES);
         let Ok(body) = body.read_bytes().await else {
-            return refuse(conn, Status::BadRequest, "failed to read the request body");
+            return respond_with_error(conn, Status::BadRequest, "failed to read the request body");
         };
         let call = match parse(&body) {
             Ok(call) => call,
             Err(error) => {
                 let message = format!("invalid request body: {error}");
-                return refuse(conn, Status::BadRequest, &message);
+                return respond_with_error(conn, Status::BadRequest, &message);
             }
         };
         match self.driver.operate(call).await {
             Some(answer) => write_json(conn, &answer),
-            None => refuse(
+            None => respond_with_error(
                 conn,
                 Status::ServiceUnavailable,
                 "the daemon is shutting down",
@@ -231,7 +231,7 @@
     }
 
     fn status(&self, conn: Conn) -> Conn {
-        if !self.is_allowed(&conn) {
+        if !self.is_authorized(&conn) {
             return unauthorized(conn);
         }
         let status = self.driver.read(fleet_status);
@@ -241,10 +241,10 @@
 
 fn unauthorized(conn: Conn) -> Conn {
     let message = "send the operators' token as `Authorization: Bearer TOKEN`";
-    refuse(conn, Status::Unauthorized, message)
+    respond_with_error(conn, Status::Unauthorized, message)
 }
 
-fn refuse(conn: Conn, status: Status, message: &str) -> Conn {
+fn respond_with_error(conn: Conn, status: Status, message: &str) -> Conn {
     conn.with_status(status)
         .with_body(format!("{message}\n"))
         .halt()
@@ -255,7 +255,7 @@
         Ok(body) => conn
             .with_response_header(KnownHeaderName::ContentType, "application/json")
             .ok(body),
-        Err(error) => refuse(conn, Status::InternalServerError, &error.to_string()),
+        Err(error) => respond_with_error(conn, Status::InternalServerError, &error.to_string()),
     }
 }
 
@@ -267,20 +267,20 @@
     FleetStatus {
         daemon: core.identity().daemon.clone(),
         version,
-        daemons: daemons(now, core),
-        domains: domains(now, core),
-        models: models(now, core),
+        daemons: daemon_statuses(now, core),
+        domains: domain_statuses(now, core),
+        models: model_statuses(now, core),
         shares: shares.map(|(name, c)| (name.clone(), c.share)).collect(),
         draining: config.draining.iter().cloned().collect(),
     }
 }
 
-fn daemons(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
+fn daemon_statuses(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
     let membership = core.membership();
-    let everyone = membership
+    let live_members = membership
         .alive(now)
         .chain(std::iter::once(membership.me()));
-    let mut daemons: Vec<DaemonStatus> = everyone
+    let mut daemons: Vec<DaemonStatus> = live_members
         .map(|peer| DaemonStatus {
             daemon: peer.daemon.clone(),
             failure_domain: peer.failure_domain.clone(),
@@ -292,7 +292,7 @@
     daemons
 }
 
-fn models(now: Timestamp, core: &Daemon) -> Vec<ModelStatus> {
+fn model_statuses(now: Timestamp, core: &Daemon) -> Vec<ModelStatus> {
     let Some(fleet) = core.state().fleet() else {
         return Vec::new();
     };
@@ -320,7 +320,7 @@
         .collect()
 }
 
-fn domains(now: Timestamp, core: &Daemon) -> BTreeMap<FailureDomain, DomainStatus> {
+fn domain_statuses(now: Timestamp, core: &Daemon) -> BTreeMap<FailureDomain, DomainStatus> {
     let state = core.state();
     let mut domains: BTreeMap<FailureDomain, DomainStatus> = BTreeMap::new();
     let Some(hosts) = state.hosts() else {
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -134,7 +134,7 @@
 
     /// Lets time pass in the core. The tick was due so long ago.
     pub fn tick(self: &Arc<Self>, late_by: Duration) {
-        self.metrics.tick_lateness(late_by);
+        self.metrics.record_tick_lateness(late_by);
         if let Some(line) = self.peer_traffic.tick(self.now(), late_by) {
             log::info!(target: "shalehinge", "peers: {line}");
         }
--- a/shalehinge/src/settings/daemon.rs
+++ b/shalehinge/src/settings/daemon.rs
@@ -102,12 +102,12 @@
         let is_hash = token_sha256.len() == 64;
         if !is_hash && !token_sha256.is_empty() {
             let message = format!("invalid token_sha256 {token_sha256:?}");
-            let mend = "specify 64 hexadecimal digits, the output of: printf %s TOKEN | sha256sum";
-            section.problem("token_sha256", message, mend);
+            let help = "specify 64 hexadecimal digits, the output of: printf %s TOKEN | sha256sum";
+            section.report_problem("token_sha256", message, help);
         }
         let mut section = reader.section("log");
         let log_file = section.optional_text("file");
-        let log_level = read_level(&mut section);
+        let log_level = read_log_level(&mut section);
         let mut section = reader.section("metrics");
         let statsd = section.optional_address("statsd");
         let limits = LimitSettings::read(reader);
@@ -128,36 +128,36 @@
             log_level,
             statsd,
         };
-        settings.check_ports(reader);
+        settings.check_listen_addresses(reader);
         settings
     }
 
-    fn check_ports(&self, reader: &mut Reader) {
+    fn check_listen_addresses(&self, reader: &mut Reader) {
         let listeners = [
             ("callers", self.callers),
             ("operators", self.operators),
             ("peers", self.peers),
         ];
         for (index, (key, address)) in listeners.iter().enumerate() {
-            let twin = listeners[..index]
+            let duplicate = listeners[..index]
                 .iter()
                 .find(|(_, other)| other == address && address.port() != 0);
-            if let Some((other, _)) = twin {
+            if let Some((other, _)) = duplicate {
                 let message = format!("{key} and {other} both listen on {address}");
-                let mend = "use a different port for each".to_owned();
-                reader.problem("listen", Some(key), message, mend);
+                let help = "use a different port for each".to_owned();
+                reader.report_problem("listen", Some(key), message, help);
             }
         }
     }
 }
 
-fn read_level(section: &mut super::reader::Section<'_>) -> log::LevelFilter {
+fn read_log_level(section: &mut super::reader::Section<'_>) -> log::LevelFilter {
     let Some(text) = section.optional_text("level") else {
         return log::LevelFilter::Info;
     };
     text.parse().unwrap_or_else(|_| {
         let message = format!("invalid level {text:?}");
-        section.problem("level", message, "use error, warn, info or debug");
+        section.report_problem("level", message, "use error, warn, info or debug");
         log::LevelFilter::Info
     })
 }
--- a/shalehinge/src/settings/learning.rs
+++ b/shalehinge/src/settings/learning.rs
@@ -100,18 +100,18 @@
         };
         if settings.relays && settings.feeds != FeedLayout::Split {
             let message = "relays = yes requires feeds = split".to_owned();
-            section.problem("relays", message, "set feeds = split or relays = no");
+            section.report_problem("relays", message, "set feeds = split or relays = no");
         }
         settings
     }
 
     /// How long requests are still served by a configuration after the daemon has learned that a
     /// newer one exists; `None` for no limit.
-    pub fn served_when_superseded(&self) -> Option<Duration> {
+    pub fn superseded_grace_period(&self) -> Option<Duration> {
         /// Fraction of `in_force_within`. The remainder covers the time until the daemon learns of
         /// the newer configuration, and the delivery of the request to the upstream.
-        const USED_PART: f64 = 0.6;
-        Some(self.in_force_within?.mul_f64(USED_PART))
+        const USABLE_FRACTION: f64 = 0.6;
+        Some(self.in_force_within?.mul_f64(USABLE_FRACTION))
     }
 
     /// How long requests with an API key are still served after the platform last confirmed the
@@ -121,8 +121,8 @@
         /// Fraction of `revoke_within` during which keys are accepted. The remainder covers the
         /// delivery of the request to the upstream, and differences in clock rates. Relayed routes
         /// have used the same fraction since they were introduced.
-        const USED_PART: f64 = 0.8;
+        const USABLE_FRACTION: f64 = 0.8;
         let within = self.revoke_within.filter(|_| self.strict_revocation)?;
-        Some(within.mul_f64(USED_PART))
+        Some(within.mul_f64(USABLE_FRACTION))
     }
 }
--- a/shalehinge/src/settings/mod.rs
+++ b/shalehinge/src/settings/mod.rs
@@ -72,30 +72,30 @@
         let mut reader = Reader::parse(file, text)?;
         let daemon = DaemonSettings::read(&mut reader);
         let core = CoreSettings::read(&mut reader);
-        check_times(&core, &mut reader);
+        check_durations(&core, &mut reader);
         reader.finish()?;
         Ok(Self { daemon, core })
     }
 }
 
 /// Checks constraints between settings of durations.
-fn check_times(core: &CoreSettings, reader: &mut Reader) {
+fn check_durations(core: &CoreSettings, reader: &mut Reader) {
     let lease = core.lease;
     if lease.interval + lease.margin >= lease.term {
         let message = "term must be longer than interval and margin combined".to_owned();
-        let mend = "increase term to at least three times the interval".to_owned();
-        reader.problem("lease", Some("term"), message, mend);
+        let help = "increase term to at least three times the interval".to_owned();
+        reader.report_problem("lease", Some("term"), message, help);
     }
     let learning = core.learning;
     if learning.strict_revocation && learning.revoke_within.is_none() {
         let message = "strict_revocation requires revoke_within".to_owned();
-        let mend = "add a line like `revoke_within = 5s`".to_owned();
-        reader.problem("learning", Some("strict_revocation"), message, mend);
+        let help = "add a line like `revoke_within = 5s`".to_owned();
+        reader.report_problem("learning", Some("strict_revocation"), message, help);
     }
     let router = core.router;
     if router.report_interval >= router.evidence_ttl {
         let message = "evidence_ttl must be longer than report_interval".to_owned();
-        let mend = "increase evidence_ttl to at least three times report_interval".to_owned();
-        reader.problem("router", Some("evidence_ttl"), message, mend);
+        let help = "increase evidence_ttl to at least three times report_interval".to_owned();
+        reader.report_problem("router", Some("evidence_ttl"), message, help);
     }
 }
--- a/shalehinge/src/settings/reader.rs
+++ b/shalehinge/src/settings/reader.rs
@@ -37,7 +37,7 @@
     pub message: String,
     /// Suggested fix.
     #[help]
-    pub mend: String,
+    pub help: String,
     /// Text of the file, for the error report.
     #[source_code]
     pub source_code: NamedSource<String>,
@@ -51,7 +51,7 @@
     file: String,
     text: String,
     ini: Ini,
-    used: BTreeMap<String, BTreeSet<String>>,
+    known_keys: BTreeMap<String, BTreeSet<String>>,
     problems: Vec<SettingsProblem>,
 }
 
@@ -73,7 +73,7 @@
                 file: file.to_owned(),
                 text: text.to_owned(),
                 ini,
-                used: BTreeMap::new(),
+                known_keys: BTreeMap::new(),
                 problems: Vec::new(),
             }),
             Err(error) => {
@@ -82,7 +82,7 @@
                     file: file.to_owned(),
                     line,
                     message: format!("invalid INI: {}", error.msg),
-                    mend: "put `key = value` lines under a `[section]`".into(),
+                    help: "put `key = value` lines under a `[section]`".into(),
                     source_code: NamedSource::new(file, text.to_owned()),
                     span: span_of_line(text, line),
                 };
@@ -96,7 +96,7 @@
 
     /// Starts reading a section, and registers its name as known.
     pub fn section(&mut self, name: &'static str) -> Section<'_> {
-        self.used.entry(name.to_owned()).or_default();
+        self.known_keys.entry(name.to_owned()).or_default();
         Section { reader: self, name }
     }
 
@@ -106,7 +106,7 @@
     ///
     /// All problems that were found.
     pub fn finish(mut self) -> Result<(), SettingsError> {
-        self.find_unknown();
+        self.report_unknown();
         if self.problems.is_empty() {
             return Ok(());
         }
@@ -117,7 +117,7 @@
         })
     }
 
-    fn find_unknown(&mut self) {
+    fn report_unknown(&mut self) {
         let mut unknown = Vec::new();
         for (section, properties) in self.ini.iter() {
             // rust-ini represents the text before the first section as a section without a name.
@@ -125,38 +125,44 @@
                 continue;
             }
             let section = section.unwrap_or_default();
-            let Some(used) = self.used.get(section) else {
-                let known: Vec<&str> = self.used.keys().map(String::as_str).collect();
-                let mend = format!("the valid sections are {}", known.join(", "));
-                unknown.push((section.to_owned(), None, mend));
+            let Some(known_keys) = self.known_keys.get(section) else {
+                let known: Vec<&str> = self.known_keys.keys().map(String::as_str).collect();
+                let help = format!("the valid sections are {}", known.join(", "));
+                unknown.push((section.to_owned(), None, help));
                 continue;
             };
             for (key, _) in properties.iter() {
-                if !used.contains(key) {
-                    let known: Vec<&str> = used.iter().map(String::as_str).collect();
-                    let mend = format!("the valid keys in [{section}] are {}", known.join(", "));
-                    unknown.push((section.to_owned(), Some(key.to_owned()), mend));
+                if !known_keys.contains(key) {
+                    let known: Vec<&str> = known_keys.iter().map(String::as_str).collect();
+                    let help = format!("the valid keys in [{section}] are {}", known.join(", "));
+                    unknown.push((section.to_owned(), Some(key.to_owned()), help));
                 }
             }
         }
-        for (section, key, mend) in unknown {
+        for (section, key, help) in unknown {
             let message = match &key {
                 Some(key) => format!("unknown key {key:?} in [{section}]"),
                 None => format!("unknown section [{section}]"),
             };
-            self.problem(&section, key.as_deref(), message, mend);
+            self.report_problem(&section, key.as_deref(), message, help);
         }
     }
 
     /// Records a problem at the line of a key, or of its section header if the key is absent.
-    pub fn problem(&mut self, section: &str, key: Option<&str>, message: String, mend: String) {
+    pub fn report_problem(
+        &mut self,
+        section: &str,
+        key: Option<&str>,
+        message: String,
+        help: String,
+    ) {
         let line = self.line_of(section, key);
         let span = span_of_line(&self.text, line);
         self.problems.push(SettingsProblem {
             file: self.file.clone(),
             line,
             message,
-            mend,
+            help,
             source_code: NamedSource::new(&self.file, self.text.clone()),
             span,
         });
@@ -200,17 +206,21 @@
 impl Section<'_> {
     /// Returns the value of a key unless it is absent or empty, and registers the key as known.
     fn raw(&mut self, key: &str) -> Option<String> {
-        let used = self.reader.used.entry(self.name.to_owned()).or_default();
-        used.insert(key.to_owned());
+        let known_keys = self
+            .reader
+            .known_keys
+            .entry(self.name.to_owned())
+            .or_default();
+        known_keys.insert(key.to_owned());
         let section = self.reader.ini.section(Some(self.name))?;
         let value = section.get(key)?.trim();
         (!value.is_empty()).then(|| value.to_owned())
     }
 
     /// Records a problem with a key of this section.
-    pub fn problem(&mut self, key: &str, message: String, mend: &str) {
+    pub fn report_problem(&mut self, key: &str, message: String, help: &str) {
         self.reader
-            .problem(self.name, Some(key), message, mend.to_owned());
+            .report_problem(self.name, Some(key), message, help.to_owned());
     }
 
     fn parse<T>(
@@ -218,7 +228,7 @@
         key: &str,
         default: T,
         parse: impl Fn(&str) -> Option<T>,
-        mend: &str,
+        help: &str,
     ) -> T {
         let Some(text) = self.raw(key) else {
             return default;
@@ -226,7 +236,7 @@
         match parse(&text) {
             Some(value) => value,
             None => {
-                self.problem(key, format!("invalid value {text:?} for {key}"), mend);
+                self.report_problem(key, format!("invalid value {text:?} for {key}"), help);
                 default
             }
         }
@@ -293,8 +303,8 @@
             "least-in-flight" => Some(ChoicePolicy::LeastInFlight),
             _ => None,
         };
-        let mend = "use score, round-robin or least-in-flight";
-        self.parse(key, default, parse, mend)
+        let help = "use score, round-robin or least-in-flight";
+        self.parse(key, default, parse, help)
     }
 
     /// Reads which objects are listed and watched together.
@@ -335,28 +345,28 @@
     /// Reads required text; `example` is shown as a value if the key is missing.
     pub fn text(&mut self, key: &str, example: &str) -> String {
         self.raw(key).unwrap_or_else(|| {
-            let mend = format!("add a line like `{key} = {example}`");
-            self.problem(key, format!("{key} is missing in [{}]", self.name), &mend);
+            let help = format!("add a line like `{key} = {example}`");
+            self.report_problem(key, format!("{key} is missing in [{}]", self.name), &help);
             String::new()
         })
     }
 
     /// Reads an optional socket address.
     pub fn optional_address(&mut self, key: &str) -> Option<std::net::SocketAddr> {
-        let mend = "use an IP address and a port, such as 10.0.0.7:7000";
-        self.parse(key, None, |text| text.parse().ok().map(Some), mend)
+        let help = "use an IP address and a port, such as 10.0.0.7:7000";
+        self.parse(key, None, |text| text.parse().ok().map(Some), help)
     }
 
     /// Reads a required socket address.
     pub fn address(&mut self, key: &str) -> std::net::SocketAddr {
-        let nowhere = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
+        let unspecified = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
         let is_missing = self.raw(key).is_none();
         if is_missing {
             let message = format!("{key} is missing in [{}]", self.name);
-            self.problem(key, message, "add a line like `listen = 10.0.0.7:7000`");
-            return nowhere;
+            self.report_problem(key, message, "add a line like `listen = 10.0.0.7:7000`");
+            return unspecified;
         }
-        self.optional_address(key).unwrap_or(nowhere)
+        self.optional_address(key).unwrap_or(unspecified)
     }
 
     /// Reads a comma-separated list of socket addresses; empty if the key is absent.
@@ -368,8 +378,8 @@
                 .filter(|part| !part.is_empty());
             parts.map(|part| part.parse().ok()).collect()
         };
-        let mend =
+        let help =
             "use comma-separated IP addresses with ports, such as 10.0.0.7:7002, 10.0.0.8:7002";
-        self.parse(key, Vec::new(), parse, mend)
+        self.parse(key, Vec::new(), parse, help)
     }
 }
--- a/shalehinge/src/telemetry/logs.rs
+++ b/shalehinge/src/telemetry/logs.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// The file can't be opened, or logging was initialized before.
-pub fn start(file: Option<&str>, level: LevelFilter) -> Result<(), LogError> {
+pub fn init(file: Option<&str>, level: LevelFilter) -> Result<(), LogError> {
     let encoder = Box::new(PatternEncoder::new(PATTERN));
     let appender: Box<dyn Append> = match file {
         Some(file) => {
--- a/shalehinge/src/telemetry/metrics.rs
+++ b/shalehinge/src/telemetry/metrics.rs
@@ -12,7 +12,7 @@
 const PREFIX: &str = "shalehinge";
 /// Upper bounds of the histogram buckets on the page, in milliseconds. A further bucket counts
 /// what is above the last one.
-const TIME_BOUNDS_MS: [u64; 8] = [1, 5, 20, 100, 500, 2_000, 10_000, 60_000];
+const BUCKET_BOUNDS_MS: [u64; 8] = [1, 5, 20, 100, 500, 2_000, 10_000, 60_000];
 
 /// A counter metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -84,8 +84,8 @@
 #[derive(Debug, Default)]
 struct Totals {
     counters: BTreeMap<Counter, u64>,
-    first_output_ms: [u64; TIME_BOUNDS_MS.len() + 1],
-    tick_late_ms: [u64; TIME_BOUNDS_MS.len() + 1],
+    first_output_buckets: [u64; BUCKET_BOUNDS_MS.len() + 1],
+    tick_lateness_buckets: [u64; BUCKET_BOUNDS_MS.len() + 1],
 }
 
 /// The metrics of one daemon.
@@ -123,27 +123,27 @@
     }
 
     /// Records by how much a timer tick was late.
-    pub fn tick_lateness(&self, time: Duration) {
+    pub fn record_tick_lateness(&self, time: Duration) {
         let millis = time.as_millis() as u64;
         let _ = self.client.time("tick.late", millis);
-        let bucket = TIME_BOUNDS_MS.partition_point(|bound| *bound < millis);
+        let bucket = BUCKET_BOUNDS_MS.partition_point(|bound| *bound < millis);
         if let Ok(mut totals) = self.totals.lock() {
-            totals.tick_late_ms[bucket] += 1;
+            totals.tick_lateness_buckets[bucket] += 1;
         }
     }
 
     /// Records the time from the arrival of a request to its first output.
-    pub fn first_output(&self, time: Duration) {
+    pub fn record_first_output(&self, time: Duration) {
         let millis = time.as_millis() as u64;
         let _ = self.client.time("first_output", millis);
-        let bucket = TIME_BOUNDS_MS.partition_point(|bound| *bound < millis);
+        let bucket = BUCKET_BOUNDS_MS.partition_point(|bound| *bound < millis);
         if let Ok(mut totals) = self.totals.lock() {
-            totals.first_output_ms[bucket] += 1;
+            totals.first_output_buckets[bucket] += 1;
         }
     }
 
     /// Renders all totals as text, one line per metric with name and value.
-    pub fn page(&self) -> String {
+    pub fn render(&self) -> String {
         let Ok(totals) = self.totals.lock() else {
             return String::new();
         };
@@ -151,15 +151,15 @@
         for (counter, value) in &totals.counters {
             page.push_str(&format!("{PREFIX}.{} {value}\n", counter.name()));
         }
-        write_times(&mut page, "first_output", &totals.first_output_ms);
-        write_times(&mut page, "tick.late", &totals.tick_late_ms);
+        write_histogram(&mut page, "first_output", &totals.first_output_buckets);
+        write_histogram(&mut page, "tick.late", &totals.tick_lateness_buckets);
         page
     }
 }
 
-fn write_times(page: &mut String, name: &str, counts: &[u64]) {
+fn write_histogram(page: &mut String, name: &str, counts: &[u64]) {
     for (index, value) in counts.iter().enumerate() {
-        let bound = TIME_BOUNDS_MS.get(index);
+        let bound = BUCKET_BOUNDS_MS.get(index);
         let bound = bound.map_or("more".to_owned(), |bound| format!("{bound}ms"));
         page.push_str(&format!("{PREFIX}.{name}.up_to_{bound} {value}\n"));
     }
--- a/shalehinge/tests/peer_traffic.rs
+++ b/shalehinge/tests/peer_traffic.rs
@@ -54,7 +54,7 @@
     let line = traffic.tick(at(2_000), ON_TIME).expect("one unanswered");
     let objects = "objects: 0 answered with 0 bytes, 1 unanswered, 0 open";
     assert!(line.contains(objects), "{line}");
-    let page = metrics.page();
+    let page = metrics.render();
     for metric in [
         "peer.pulls 2",
         "peer.pulls.unanswered 1",
--- a/shalehinge/tests/settings.rs
+++ b/shalehinge/tests/settings.rs
@@ -6,7 +6,7 @@
 use shalehinge::settings::core::CoreSettings;
 use shalehinge::settings::daemon::LimitSettings;
 
-const GOOD: &str = "\
+const MINIMAL: &str = "\
 [daemon]
 name = entry-1
 failure_domain = talca-a
@@ -27,20 +27,20 @@
         Err(error) => error
             .problems
             .iter()
-            .map(|problem| format!("{}: {}; {}", problem.line, problem.message, problem.mend))
+            .map(|problem| format!("{}: {}; {}", problem.line, problem.message, problem.help))
             .collect(),
     }
 }
 
 #[test]
-fn a_short_file_takes_the_defaults() {
-    let settings = Settings::parse("entry.ini", GOOD).expect("valid settings");
+fn a_minimal_file_uses_the_defaults() {
+    let settings = Settings::parse("entry.ini", MINIMAL).expect("valid settings");
     assert_eq!(settings.core, CoreSettings::default());
     assert_eq!(settings.daemon.limits, LimitSettings::default());
 }
 
 #[test]
-fn the_example_names_every_key_with_its_default() {
+fn the_example_file_matches_the_defaults() {
     let text = include_str!("../../docs/example.ini");
     let settings = Settings::parse("example.ini", text).expect("valid settings");
     assert_eq!(settings.core, CoreSettings::default());
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn an_unknown_key_is_named_with_its_line_and_the_keys_that_there_are() {
-    let text = format!("{GOOD}[lease]\nterms = 6s\n");
+fn an_unknown_key_is_reported_with_its_line_and_the_valid_keys() {
+    let text = format!("{MINIMAL}[lease]\nterms = 6s\n");
     assert_eq!(
         problems(&text),
         [
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn an_unknown_section_is_named() {
-    let text = format!("{GOOD}[leases]\nterm = 6s\n");
+fn an_unknown_section_is_reported() {
+    let text = format!("{MINIMAL}[leases]\nterm = 6s\n");
     assert!(problems(&text)[0].starts_with("12: unknown section [leases]"));
 }
 
 #[test]
-fn a_bad_unit_says_how_to_write_it() {
-    let text = format!("{GOOD}[lease]\nterm = 6 parsecs\n");
+fn an_invalid_unit_is_reported_with_an_example() {
+    let text = format!("{MINIMAL}[lease]\nterm = 6 parsecs\n");
     let problem = &problems(&text)[0];
     assert!(
         problem.starts_with("13: invalid value \"6 parsecs\" for term"),
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn a_missing_address_and_ports_that_overlap_are_told_together() {
-    let text = GOOD
+fn a_missing_address_and_a_duplicate_port_are_reported_together() {
+    let text = MINIMAL
         .replace("peers = 127.0.0.1:7002", "peers = 127.0.0.1:7000")
         .replace("address = 127.0.0.1:8000\n", "");
     let problems = problems(&text);
@@ -87,35 +87,35 @@
 }
 
 #[test]
-fn times_that_contradict_each_other_are_refused() {
-    let text = format!("{GOOD}[lease]\nterm = 2s\ninterval = 2s\n");
+fn inconsistent_durations_are_rejected() {
+    let text = format!("{MINIMAL}[lease]\nterm = 2s\ninterval = 2s\n");
     assert!(problems(&text)[0].contains("term must be longer than interval and margin"));
-    let text = format!("{GOOD}[router]\nevidence_ttl = 100ms\n");
+    let text = format!("{MINIMAL}[router]\nevidence_ttl = 100ms\n");
     assert!(problems(&text)[0].contains("evidence_ttl must be longer"));
 }
 
 #[test]
-fn relays_without_split_feeds_are_refused() {
-    let text = format!("{GOOD}[learning]\nrelays = yes\n");
+fn relays_without_split_feeds_are_rejected() {
+    let text = format!("{MINIMAL}[learning]\nrelays = yes\n");
     assert!(problems(&text)[0].contains("relays = yes requires feeds = split"));
-    let text = format!("{GOOD}[learning]\nrelays = yes\nfeeds = split\n");
+    let text = format!("{MINIMAL}[learning]\nrelays = yes\nfeeds = split\n");
     assert_eq!(problems(&text), Vec::<String>::new());
 }
 
 #[test]
-fn text_that_is_no_ini_is_told_with_its_line() {
+fn invalid_ini_is_reported() {
     assert!(problems("[daemon\nname = x\n")[0].contains("invalid INI"));
 }
 
 /// Returns how long API keys stay valid with these lines in section `[learning]`.
 fn keys_valid_for(lines: &str) -> Option<Duration> {
-    let text = format!("{GOOD}[learning]\n{lines}");
+    let text = format!("{MINIMAL}[learning]\n{lines}");
     let settings = Settings::parse("entry.ini", &text).expect("valid settings");
     settings.core.learning.keys_valid_for()
 }
 
 #[test]
-fn keys_count_for_four_fifths_of_a_strict_revocation_time() {
+fn keys_are_valid_for_four_fifths_of_a_strict_revocation_time() {
     for (within_ms, valid_ms) in [(2_500, 2_000), (5_000, 4_000), (10_000, 8_000)] {
         let lines = format!("strict_revocation = true\nrevoke_within = {within_ms}ms\n");
         let valid_for = Duration::from_millis(valid_ms);
@@ -124,13 +124,13 @@
 }
 
 #[test]
-fn keys_count_through_an_outage_where_revocation_is_not_strict() {
+fn keys_stay_valid_in_an_outage_where_revocation_is_not_strict() {
     let lines = "strict_revocation = false\nrevoke_within = 5000ms\n";
     assert_eq!(keys_valid_for(lines), None);
 }
 
 #[test]
-fn strict_revocation_without_its_time_is_refused() {
-    let text = format!("{GOOD}[learning]\nstrict_revocation = yes\n");
+fn strict_revocation_without_its_time_is_rejected() {
+    let text = format!("{MINIMAL}[learning]\nstrict_revocation = yes\n");
     assert!(problems(&text)[0].contains("strict_revocation requires revoke_within"));
 }
--- a/standin/src/platform/handler.rs
+++ b/standin/src/platform/handler.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use shalehinge::object_api::http::{ERA, WireVersion};
+use shalehinge::object_api::http::{ERA_HEADER, WireVersion};
 use shalehinge::utils::time::within;
 use trillium::{Conn, Handler, Status};
 use trillium_router::{Router, RouterConnExt};
@@ -85,7 +85,7 @@
 
 /// Says how often the store was restored from a copy.
 fn in_era(conn: Conn, store: &Store) -> Conn {
-    conn.with_response_header(ERA, store.era().to_string())
+    conn.with_response_header(ERA_HEADER, store.era().to_string())
 }
 
 fn kind_and_name(conn: &Conn) -> (String, String) {
