--- a/shalehinge/tests/always.rs
+++ b/shalehinge/tests/always.rs
@@ -12,7 +12,7 @@
 use support::world::World;
 
 /// Number of sequences in a normal test run.
-const SEEDS: u64 = 120;
+const SEED_COUNT: u64 = 120;
 
 /// Runs one sequence. Returns the simulated time and the activity, or the first violation.
 fn run(seed: u64) -> Result<(Duration, Activity), String> {
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn what_must_hold_holds_in_fixed_sequences() {
-    run_all(0..SEEDS);
+fn invariants_hold_in_fixed_sequences() {
+    run_all(0..SEED_COUNT);
 }
 
 #[test]
 #[ignore = "long; run by hand with FUZZ_SEEDS=FROM..TO"]
-fn what_must_hold_holds_in_more_sequences() {
+fn invariants_hold_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..2000".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
     let number = |text: &str| text.parse::<u64>().expect("an integer");
@@ -62,6 +62,6 @@
 }
 
 #[test]
-fn sequences_are_the_same_every_time() {
+fn sequences_are_deterministic() {
     assert_eq!(sequence(3), sequence(3));
 }
--- a/shalehinge/tests/always_restored.rs
+++ b/shalehinge/tests/always_restored.rs
@@ -14,11 +14,11 @@
 use support::world::World;
 
 /// Number of sequences in a normal test run, over both tests.
-const SEEDS: u64 = 160;
+const SEED_COUNT: u64 = 160;
 /// Time within which running daemons rewrite what a restored backup lacks.
-const REWRITTEN_WITHIN: Duration = Duration::from_secs(4);
+const REWRITE_TIME: Duration = Duration::from_secs(4);
 /// Request kinds from this one on carry no idempotency key.
-const KINDS_WITH_KEY: u8 = 2;
+const FIRST_KIND_WITHOUT_KEY: u8 = 2;
 
 /// Whether the operation may prevent a daemon from rewriting what it wrote since the backup.
 fn disturbs_daemons(operation: Operation) -> bool {
@@ -27,8 +27,8 @@
         Operation::KillDaemon(_)
             | Operation::StopDaemon(_)
             | Operation::FreezeDaemon(_)
-            | Operation::CutDomain(_)
-            | Operation::CutPlatform(_)
+            | Operation::PartitionDomain(_)
+            | Operation::PartitionFromPlatform(_)
             | Operation::PlatformFault(_)
     )
 }
@@ -37,11 +37,11 @@
 fn without_keys(operation: Operation) -> Operation {
     match operation {
         Operation::Request { daemon, kind, key } => {
-            let kind = kind % 2 + KINDS_WITH_KEY;
+            let kind = kind % 2 + FIRST_KIND_WITHOUT_KEY;
             Operation::Request { daemon, kind, key }
         }
         Operation::Burst { daemon, key, .. } => {
-            let kind = KINDS_WITH_KEY;
+            let kind = FIRST_KIND_WITHOUT_KEY;
             Operation::Request { daemon, kind, key }
         }
         other => other,
@@ -72,7 +72,7 @@
         if self.has_keys {
             if disturbs_daemons(operation) {
                 self.world.heal();
-                self.world.platform.drop_copy();
+                self.world.platform.discard_backup();
             }
             self.world.apply(operation);
         } else {
@@ -81,18 +81,18 @@
         if !self.rng.random_bool(0.2) {
             return;
         }
-        if !self.world.platform.has_copy() {
+        if !self.world.platform.has_backup() {
             if self.has_keys {
                 self.world.heal();
-                self.world.run_for(REWRITTEN_WITHIN);
+                self.world.run_for(REWRITE_TIME);
             }
-            self.world.platform.take_copy();
+            self.world.platform.take_backup();
             return;
         }
         self.restores += 1;
         self.world.restore_platform();
         if self.has_keys {
-            self.world.run_for(REWRITTEN_WITHIN);
+            self.world.run_for(REWRITE_TIME);
         }
     }
 }
@@ -126,18 +126,18 @@
 }
 
 #[test]
-fn what_must_hold_holds_beside_copies_in_fixed_sequences() {
-    run_all((0..SEEDS).filter(|seed| seed.is_multiple_of(2)));
+fn invariants_hold_across_restores_in_fixed_sequences() {
+    run_all((0..SEED_COUNT).filter(|seed| seed.is_multiple_of(2)));
 }
 
 #[test]
-fn what_must_hold_holds_beside_copies_while_daemons_fail() {
-    run_all((0..SEEDS).filter(|seed| !seed.is_multiple_of(2)));
+fn invariants_hold_across_restores_while_daemons_fail() {
+    run_all((0..SEED_COUNT).filter(|seed| !seed.is_multiple_of(2)));
 }
 
 #[test]
 #[ignore = "long; run by hand with FUZZ_SEEDS=FROM..TO"]
-fn what_must_hold_holds_beside_copies_in_more_sequences() {
+fn invariants_hold_across_restores_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..1400".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
     let seed = |text: &str| text.parse::<u64>().expect("a seed");
--- a/shalehinge/tests/focused.rs
+++ b/shalehinge/tests/focused.rs
@@ -51,7 +51,7 @@
     world.run_for(seconds(15));
     let core = world.entries[0].core.as_ref().expect("runs");
     assert_eq!(core.state().digest().fleet.stored.number, 1);
-    assert!(world.entries[0].sees(4, world.now));
+    assert!(world.entries[0].has_eligible_replicas(4, world.now));
     assert_nothing_violated(&world);
 }
 
@@ -102,7 +102,7 @@
     world.run_for(seconds(20));
     let successor = holder_of(&world, 0).expect("held again");
     assert_ne!(successor, holder);
-    world.wake(holder);
+    world.unfreeze(holder);
     world.run_for(seconds(5));
     assert_eq!(holder_of(&world, 0), Some(successor));
     assert_nothing_violated(&world);
@@ -115,11 +115,18 @@
     world.kill_host(1);
     let killed_at = world.now;
     world.run_until("the replica is out", |world| {
-        world.entries.iter().all(|entry| !entry.sees(4, world.now))
+        world
+            .entries
+            .iter()
+            .all(|entry| !entry.has_eligible_replicas(4, world.now))
     });
     assert!(world.now - killed_at < seconds(3));
     world.run_until("it is formed again", |world| {
-        world.serving_groups() == 4 && world.entries.iter().all(|e| e.sees(4, world.now))
+        world.serving_groups() == 4
+            && world
+                .entries
+                .iter()
+                .all(|e| e.has_eligible_replicas(4, world.now))
     });
     let time = world.now - killed_at;
     assert!(time < seconds(8), "{time:?}");
@@ -130,8 +137,8 @@
 fn a_cut_domain_goes_on_with_its_own_replicas() {
     let mut world = World::serving(7);
     let domain = world.domains[0].clone();
-    world.cut.insert(domain.clone());
-    world.platform_cut.insert(domain);
+    world.partitioned_domains.insert(domain.clone());
+    world.platform_partitioned_domains.insert(domain);
     world.run_for(seconds(30));
     for entry in 0..world.entries.len() {
         let request = world.request(entry, 3, 0).expect("runs");
@@ -152,8 +159,8 @@
     world.oracle.leaving_at.insert(host, now);
     world.write_host_list();
     world.run_for(seconds(5));
-    assert!(!world.entries[2].sees(4, world.now));
-    assert!(world.entries[2].sees(3, world.now));
+    assert!(!world.entries[2].has_eligible_replicas(4, world.now));
+    assert!(world.entries[2].has_eligible_replicas(3, world.now));
 }
 
 #[test]
@@ -164,7 +171,7 @@
     world.run_until("another holds", |world| {
         holder_of(world, 0).is_some_and(|other| other != holder)
     });
-    let calm_since = world.oracle.calm_since;
+    let calm_since = world.oracle.undisturbed_since;
     assert!(world.now - calm_since < seconds(5), "{:?}", world.now);
     assert_nothing_violated(&world);
 }
--- a/shalehinge/tests/support/apply.rs
+++ b/shalehinge/tests/support/apply.rs
@@ -20,7 +20,7 @@
 use super::world::{CUSTOMER, MODEL, STEP, World};
 
 /// Number of idempotency keys that callers use; few, so that requests collide.
-const KEYS: u8 = 6;
+const KEY_COUNT: u8 = 6;
 
 impl World {
     /// Applies one operation, then advances by one step.
@@ -35,22 +35,22 @@
             Operation::KillDaemon(n) => self.kill(entry(n)),
             Operation::StartDaemon(n) => self.start(entry(n)),
             Operation::FreezeDaemon(n) => self.freeze(entry(n)),
-            Operation::WakeDaemon(n) => self.wake(entry(n)),
+            Operation::UnfreezeDaemon(n) => self.unfreeze(entry(n)),
             Operation::StopDaemon(n) => self.stop(entry(n)),
-            Operation::CutDomain(n) => {
+            Operation::PartitionDomain(n) => {
                 let domain = domain(n);
-                self.cut.insert(domain);
+                self.partitioned_domains.insert(domain);
             }
-            Operation::CutPlatform(n) => {
+            Operation::PartitionFromPlatform(n) => {
                 let domain = domain(n);
-                self.platform_cut.insert(domain);
+                self.platform_partitioned_domains.insert(domain);
             }
-            Operation::HealCuts => {
-                self.cut.clear();
-                self.platform_cut.clear();
+            Operation::HealPartitions => {
+                self.partitioned_domains.clear();
+                self.platform_partitioned_domains.clear();
             }
             Operation::PlatformFault(n) => self.set_fault(n),
-            Operation::PlatformWorks => self.platform.fault = Fault::None,
+            Operation::ClearPlatformFault => self.platform.fault = Fault::None,
             Operation::KillHost(n) => self.kill_host(host(n)),
             Operation::StartHost(n) => {
                 let host = host(n);
@@ -60,7 +60,7 @@
                 let host = host(n);
                 self.hosts[host].is_frozen = self.hosts[host].is_alive;
             }
-            Operation::WakeHost(n) => {
+            Operation::UnfreezeHost(n) => {
                 let host = host(n);
                 self.hosts[host].is_frozen = false;
             }
@@ -70,7 +70,7 @@
                 self.oracle.leaving_at.entry(id).or_insert(now);
                 self.write_host_list();
             }
-            Operation::HostStays(n) => {
+            Operation::CancelHostLeave(n) => {
                 let id = self.hosts[host(n)].id.clone();
                 self.oracle.leaving_at.remove(&id);
                 self.write_host_list();
@@ -94,13 +94,13 @@
                 value,
             } => {
                 let change = self.change(kind, value);
-                self.operate(entry(daemon), OperatorCall::Plan(change), None);
+                self.send_operator_call(entry(daemon), OperatorCall::Plan(change), None);
                 self.run_for(STEP * 8);
             }
             Operation::Confirm { daemon, plan } => {
                 self.confirm(entry(daemon), usize::from(plan));
             }
-            Operation::ConfuseAnswers(n) => self.confuse(entry(n)),
+            Operation::SendStrayCompletions(n) => self.send_stray_completions(entry(n)),
             Operation::Settle => self.run_for(Duration::from_secs(8)),
         }
         self.step();
@@ -111,7 +111,7 @@
             Fault::Down,
             Fault::LoseAnswer,
             Fault::LoseWrite,
-            Fault::LateWrite,
+            Fault::DelayWrite,
         ];
         self.platform.fault = faults[usize::from(number) % faults.len()];
     }
@@ -121,19 +121,19 @@
     /// Sends a caller's request, unless the daemon is not running. Kinds 0 and 1 carry an
     /// idempotency key, kind 2 has none and is not repeatable, kind 3 is repeatable.
     pub fn request(&mut self, index: usize, kind: u8, key: u8) -> Option<CallerRequest> {
-        if !self.entries[index].runs() {
+        if !self.entries[index].is_running() {
             return None;
         }
         let caller = self.next_request;
         self.next_request += 1;
         let kind = kind % 4;
-        let key = (kind < 2).then(|| KeyHash(u128::from(key % KEYS)));
+        let key = (kind < 2).then(|| KeyHash(u128::from(key % KEY_COUNT)));
         let repeatable = kind == 3;
         let facts = RequestFacts {
             key,
             repeatable,
             executions: 0,
-            whole_answers: 0,
+            complete_answers: 0,
             outcome: None,
         };
         self.oracle.requests.insert(caller, facts);
@@ -159,24 +159,24 @@
             is_resumable: false,
             credential: None,
         };
-        self.give(index, Event::Request { request, meta });
+        self.deliver_event(index, Event::Request { request, meta });
         Some(caller)
     }
 
     /// Sends the daemon completions of attempts for requests that they don't belong to, and of an
     /// attempt that doesn't exist.
-    fn confuse(&mut self, index: usize) {
+    fn send_stray_completions(&mut self, index: usize) {
         let entry = &self.entries[index];
         let run = entry.run;
         let requests: Vec<RequestId> = entry.requests.keys().copied().collect();
-        let mut attempts: Vec<AttemptId> = entry.running.keys().copied().collect();
+        let mut attempts: Vec<AttemptId> = entry.open_attempts.keys().copied().collect();
         attempts.push(AttemptId {
             incarnation: Incarnation(7),
             sequence: 1,
         });
         for request in requests {
             for attempt in &attempts {
-                if entry_runs(&self.entries[index].running, *attempt, request) {
+                if is_attempt_of(&self.entries[index].open_attempts, *attempt, request) {
                     continue;
                 }
                 let event = Event::Ended {
@@ -219,14 +219,19 @@
     }
 
     /// Sends an operator call to a daemon; `operation` is the one that a confirm would apply.
-    pub fn operate(&mut self, index: usize, call: OperatorCall, operation: Option<OperationId>) {
-        if !self.entries[index].runs() {
+    pub fn send_operator_call(
+        &mut self,
+        index: usize,
+        call: OperatorCall,
+        operation: Option<OperationId>,
+    ) {
+        if !self.entries[index].is_running() {
             return;
         }
         let call_id = OperatorCallId(self.next_operation);
         self.next_operation += 1;
         self.operator_calls.insert((index, call_id), operation);
-        self.give(index, Event::Operator { call_id, call });
+        self.deliver_event(index, Event::Operator { call_id, call });
     }
 
     /// Confirms an earlier plan under a new operation ID. Returns `None` if there is no plan.
@@ -244,12 +249,12 @@
             digest: plan.digest,
             operation,
         };
-        self.operate(index, OperatorCall::Confirm(confirm), Some(operation));
+        self.send_operator_call(index, OperatorCall::Confirm(confirm), Some(operation));
         Some(operation)
     }
 
     /// Records a daemon's answer to an operator call.
-    pub fn answer_operator(
+    pub fn record_operator_answer(
         &mut self,
         index: usize,
         call_id: OperatorCallId,
@@ -268,7 +273,7 @@
                 }
                 OperatorAnswer::Unclear | OperatorAnswer::Planned(_) => {}
             }
-            self.answers.push((operation, answer.clone()));
+            self.operator_answers.push((operation, answer.clone()));
         }
         if let OperatorAnswer::Planned(plan) = answer {
             self.plans.push(*plan);
@@ -278,20 +283,21 @@
     // --- checks ---
 
     /// Checks all invariants.
-    pub fn check(&mut self) {
-        let is_disturbed = !self.cut.is_empty()
-            || !self.platform_cut.is_empty()
+    pub fn check_invariants(&mut self) {
+        let is_disturbed = !self.partitioned_domains.is_empty()
+            || !self.platform_partitioned_domains.is_empty()
             || self.platform.fault != Fault::None
             || self.entries.iter().any(|entry| entry.is_frozen);
         if is_disturbed {
-            self.oracle.calm_since = self.now;
+            self.oracle.undisturbed_since = self.now;
         }
-        if self.platform.fault != Fault::LateWrite && !self.platform.late.is_empty() {
-            self.platform.land_late_writes();
+        if self.platform.fault != Fault::DelayWrite && !self.platform.delayed_writes.is_empty() {
+            self.platform.apply_delayed_writes();
             self.oracle.config_written_at = self.now;
         }
         self.oracle.check_assignments(&self.platform.objects);
-        self.oracle.check_operations(&self.platform.operations);
+        self.oracle
+            .check_operations(&self.platform.applied_operations);
         self.check_configs();
         self.check_leases();
     }
@@ -327,7 +333,7 @@
                 .collect();
             if holders.len() > 1 {
                 let text = format!("the lease of {domain} is held by {holders:?}");
-                self.oracle.violation(text);
+                self.oracle.report_violation(text);
             }
         }
     }
@@ -345,14 +351,14 @@
             self.send_to_entry(STEP, watch.entry, watch.run, event);
         }
         self.write_host_list();
-        self.oracle.calm_since = self.now;
+        self.oracle.undisturbed_since = self.now;
         self.oracle.config_written_at = self.now;
     }
 
     /// Removes all faults and restarts all hosts and daemons.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.platform_cut.clear();
+        self.partitioned_domains.clear();
+        self.platform_partitioned_domains.clear();
         self.platform.fault = Fault::None;
         self.oracle.leaving_at.clear();
         self.write_host_list();
@@ -361,7 +367,7 @@
             host.is_frozen = false;
         }
         for index in 0..self.entries.len() {
-            self.wake(index);
+            self.unfreeze(index);
             self.start(index);
         }
     }
@@ -377,7 +383,7 @@
     }
 }
 
-fn entry_runs(
+fn is_attempt_of(
     running: &std::collections::BTreeMap<AttemptId, RequestId>,
     attempt: AttemptId,
     request: RequestId,
--- a/shalehinge/tests/support/engines.rs
+++ b/shalehinge/tests/support/engines.rs
@@ -18,9 +18,9 @@
     pub is_frozen: bool,
     pub engine: HostEngine,
     /// Number of the load in progress, and when it finishes.
-    pub loads_until: Option<(u64, Duration)>,
+    pub pending_load: Option<(u64, Duration)>,
     /// Running attempts, and when each finishes.
-    pub running: BTreeMap<AttemptId, Duration>,
+    pub running_attempts: BTreeMap<AttemptId, Duration>,
 }
 
 impl FakeHost {
@@ -32,14 +32,14 @@
             is_alive: true,
             is_frozen: false,
             engine: HostEngine::new(id.clone(), checks_fences, EngineParameters::default()),
-            loads_until: None,
-            running: BTreeMap::new(),
+            pending_load: None,
+            running_attempts: BTreeMap::new(),
             id,
         }
     }
 
     /// Whether the host is neither down nor frozen.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.is_alive && !self.is_frozen
     }
 
@@ -50,8 +50,8 @@
         self.is_alive = false;
         self.is_frozen = false;
         self.engine = HostEngine::new(self.id.clone(), checks_fences, parameters);
-        self.loads_until = None;
-        self.running.clear();
+        self.pending_load = None;
+        self.running_attempts.clear();
     }
 
     /// Whether the host is a running, ready member of the group.
@@ -65,6 +65,6 @@
             self.engine.phase,
             EnginePhase::Ready | EnginePhase::Draining
         );
-        self.runs() && in_group && is_ready
+        self.is_running() && in_group && is_ready
     }
 }
--- a/shalehinge/tests/support/entry.rs
+++ b/shalehinge/tests/support/entry.rs
@@ -30,7 +30,7 @@
     /// Simulated time of the last start.
     pub started_at: Duration,
     /// Rate of the daemon's clock relative to simulated time.
-    pub rate: f64,
+    pub clock_rate: f64,
     /// Events that arrived while the daemon was frozen.
     pub inbox: Vec<Event>,
     /// Actions that were decided but not executed yet.
@@ -38,12 +38,12 @@
     /// Requests in progress.
     pub requests: BTreeMap<RequestId, CallerRequest>,
     /// Attempts in progress.
-    pub running: BTreeMap<AttemptId, RequestId>,
+    pub open_attempts: BTreeMap<AttemptId, RequestId>,
     pub next_request: u64,
 }
 
 impl Entry {
-    pub fn new(name: &str, domain: &FailureDomain, port: u16, rate: f64) -> Self {
+    pub fn new(name: &str, domain: &FailureDomain, port: u16, clock_rate: f64) -> Self {
         Self {
             name: DaemonId::new(name),
             domain: domain.clone(),
@@ -54,11 +54,11 @@
             is_stopping: false,
             run: 0,
             started_at: Duration::ZERO,
-            rate,
+            clock_rate,
             inbox: Vec::new(),
             outbox: Vec::new(),
             requests: BTreeMap::new(),
-            running: BTreeMap::new(),
+            open_attempts: BTreeMap::new(),
             next_request: 1,
         }
     }
@@ -91,23 +91,23 @@
         self.is_frozen = false;
         self.inbox.clear();
         self.outbox.clear();
-        self.running.clear();
+        self.open_attempts.clear();
         std::mem::take(&mut self.requests).into_values().collect()
     }
 
     /// Whether the daemon is neither down nor frozen.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.core.is_some() && !self.is_frozen
     }
 
     /// Returns the daemon's monotonic clock, which advances while the daemon is frozen.
     pub fn clock(&self, now: Duration) -> Timestamp {
         let since_start = now.saturating_sub(self.started_at);
-        Timestamp::from_duration(since_start.mul_f64(self.rate))
+        Timestamp::from_duration(since_start.mul_f64(self.clock_rate))
     }
 
     /// Whether at least this many replicas of the model are eligible for requests.
-    pub fn sees(&self, replicas: usize, now: Duration) -> bool {
+    pub fn has_eligible_replicas(&self, replicas: usize, now: Duration) -> bool {
         let target = Target::Model(ModelName::new(MODEL));
         let core = self.core.as_ref();
         core.is_some_and(|core| core.router().eligible(self.clock(now), &target).0 >= replicas)
--- a/shalehinge/tests/support/fabric.rs
+++ b/shalehinge/tests/support/host_messages.rs
@@ -12,7 +12,7 @@
 use standin::engine::model::SequenceSpec;
 use standin::engine::state::Followup;
 
-use super::oracle::members_of;
+use super::oracle::group_members;
 use super::world::{CALL_TIMEOUT, Delivery, STEP, World};
 
 /// A message to a host.
@@ -29,7 +29,7 @@
 }
 
 /// An attempt that is running at a host.
-pub struct Executing {
+pub struct Execution {
     pub entry: usize,
     pub run: u64,
     pub host: usize,
@@ -56,14 +56,14 @@
             host,
             message,
         };
-        self.send_in(delay, delivery);
+        self.schedule_delivery(delay, delivery);
     }
 
     /// Handles a message that arrives at a host.
-    pub fn at_host(&mut self, entry: usize, run: u64, host: usize, message: HostMessage) {
+    pub fn handle_at_host(&mut self, entry: usize, run: u64, host: usize, message: HostMessage) {
         let is_reached = self.hosts[host].is_alive && {
             let domain = self.hosts[host].domain.clone();
-            self.reaches(entry, &domain)
+            self.can_reach(entry, &domain)
         };
         let answers = is_reached && !self.hosts[host].is_frozen;
         match message {
@@ -79,7 +79,7 @@
                 self.send_to_entry(delay, entry, run, event);
             }
             HostMessage::Order { order, asked_at } => {
-                let reply = answers.then(|| self.take_order(host, order.clone()));
+                let reply = answers.then(|| self.handle_order(host, order.clone()));
                 let delay = self.reply_delay(answers);
                 let event = Event::OrderAnswered {
                     host: self.hosts[host].id.clone(),
@@ -90,7 +90,7 @@
                 self.send_to_entry(delay, entry, run, event);
             }
             HostMessage::Attempt(attempt) => {
-                self.take_attempt(entry, run, host, attempt, is_reached, answers);
+                self.handle_attempt(entry, run, host, attempt, is_reached, answers);
             }
         }
     }
@@ -99,15 +99,15 @@
         if answers { self.delay() } else { CALL_TIMEOUT }
     }
 
-    fn take_order(&mut self, host: usize, order: Order) -> OrderReply {
+    fn handle_order(&mut self, host: usize, order: Order) -> OrderReply {
         self.check_order(host, &order);
         let now = self.now;
         let (reply, followup) = self.hosts[host].engine.take_order(now, order);
         if let Followup::Load { number, warm } = followup {
             let time = Duration::from_millis(if warm { 100 } else { 800 });
-            self.hosts[host].loads_until = Some((number, now + time));
+            self.hosts[host].pending_load = Some((number, now + time));
         }
-        self.lose_broken(host);
+        self.end_aborted_attempts(host);
         reply
     }
 
@@ -123,7 +123,7 @@
         if let Some(other) = other {
             let id = &self.hosts[host].id;
             let text = format!("host {id} of {other:?} was ordered into {:?}", order.group);
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
         if order.command != (Command::Release { drain: false }) {
             return;
@@ -140,14 +140,14 @@
             return;
         };
         let rank_zero = group.members.first().map(|member| member.host.clone());
-        let runs_there = self.hosts.iter().any(|host| {
+        let has_running_requests = self.hosts.iter().any(|host| {
             Some(&host.id) == rank_zero.as_ref()
-                && !host.running.is_empty()
+                && !host.running_attempts.is_empty()
                 && host.is_ready_in(order.group)
         });
-        if runs_there {
+        if has_running_requests {
             let text = format!("retiring {:?} aborted requests", order.group);
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
     }
 
@@ -165,7 +165,7 @@
         }
         let address = attempt.address;
         self.entries[entry]
-            .running
+            .open_attempts
             .insert(attempt.id, attempt.request);
         self.send_to_host(entry, run, address, HostMessage::Attempt(attempt));
     }
@@ -175,11 +175,11 @@
         let assignments = core.map(|core| core.state().assignments());
         assignments
             .and_then(|assignments| assignments.get(&replica.failure_domain))
-            .map(|assignment| members_of(&assignment.value, replica))
+            .map(|assignment| group_members(&assignment.value, replica))
             .unwrap_or_default()
     }
 
-    fn take_attempt(
+    fn handle_attempt(
         &mut self,
         entry: usize,
         run: u64,
@@ -188,7 +188,7 @@
         is_reached: bool,
         answers: bool,
     ) {
-        let is_abandoned = !self.entries[entry].running.contains_key(&attempt.id)
+        let is_abandoned = !self.entries[entry].open_attempts.contains_key(&attempt.id)
             || self.entries[entry].run != run;
         if !is_reached {
             self.end_attempt(entry, run, &attempt, AttemptEnd::NotSent, STEP);
@@ -211,7 +211,7 @@
         }
         let time = STEP * self.rng.random_range(2..60);
         let until = self.now + time;
-        self.hosts[host].running.insert(attempt.id, until);
+        self.hosts[host].running_attempts.insert(attempt.id, until);
         let id = sequence_id(attempt.id);
         self.hosts[host].engine.model.submit(SequenceSpec {
             id,
@@ -220,7 +220,7 @@
             prefix: Vec::new(),
             priority: 0,
         });
-        self.executing.push(Executing {
+        self.executions.push(Execution {
             entry,
             run,
             host,
@@ -254,50 +254,50 @@
         }
         self.finish_requests();
         for index in 0..self.hosts.len() {
-            self.look_at_members(index);
+            self.update_member_view(index);
         }
-        self.note_complete();
+        self.record_complete_groups();
     }
 
     fn finish_load(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
-        if let Some((number, until)) = host.loads_until
-            && host.runs()
+        if let Some((number, until)) = host.pending_load
+            && host.is_running()
             && now >= until
         {
             host.engine.finish_load(number);
-            host.loads_until = None;
+            host.pending_load = None;
         }
     }
 
     fn finish_requests(&mut self) {
-        for executing in std::mem::take(&mut self.executing) {
-            let host = &self.hosts[executing.host];
-            if host.is_frozen || (host.is_alive && self.now < executing.until) {
-                self.executing.push(executing);
+        for execution in std::mem::take(&mut self.executions) {
+            let host = &self.hosts[execution.host];
+            if host.is_frozen || (host.is_alive && self.now < execution.until) {
+                self.executions.push(execution);
                 continue;
             }
-            let is_done = host.running.contains_key(&executing.attempt.id);
+            let is_done = host.running_attempts.contains_key(&execution.attempt.id);
             let domain = host.domain.clone();
-            let is_heard = self.reaches(executing.entry, &domain);
-            self.end_execution(executing, is_done && is_heard);
+            let is_delivered = self.can_reach(execution.entry, &domain);
+            self.end_execution(execution, is_done && is_delivered);
         }
     }
 
-    fn end_execution(&mut self, executing: Executing, is_whole: bool) {
-        let Executing {
+    fn end_execution(&mut self, execution: Execution, is_complete: bool) {
+        let Execution {
             entry,
             run,
             host,
             attempt,
             ..
-        } = executing;
+        } = execution;
         let host = &mut self.hosts[host];
-        host.running.remove(&attempt.id);
+        host.running_attempts.remove(&attempt.id);
         host.engine.model.cancel(sequence_id(attempt.id));
         host.engine.finish_drain();
-        if !is_whole {
+        if !is_complete {
             self.end_attempt(entry, run, &attempt, AttemptEnd::Lost, STEP);
             return;
         }
@@ -306,7 +306,7 @@
             && let Some(caller) = self.entries[entry].requests.get(&request)
             && let Some(facts) = self.oracle.requests.get_mut(caller)
         {
-            facts.whole_answers += 1;
+            facts.complete_answers += 1;
         }
         let end = AttemptEnd::Completed { output_tokens: 8 };
         self.end_attempt(entry, run, &attempt, end, STEP);
@@ -317,25 +317,25 @@
     }
 
     /// Ends attempts that the engine of a host aborted as lost.
-    fn lose_broken(&mut self, index: usize) {
+    fn end_aborted_attempts(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if host.engine.model.is_idle() {
-            host.running.clear();
+            host.running_attempts.clear();
         }
-        for executing in std::mem::take(&mut self.executing) {
-            let host = &self.hosts[executing.host];
-            let is_broken =
-                executing.host == index && !host.running.contains_key(&executing.attempt.id);
-            if is_broken {
-                self.end_execution(executing, false);
+        for execution in std::mem::take(&mut self.executions) {
+            let host = &self.hosts[execution.host];
+            let is_aborted = execution.host == index
+                && !host.running_attempts.contains_key(&execution.attempt.id);
+            if is_aborted {
+                self.end_execution(execution, false);
             } else {
-                self.executing.push(executing);
+                self.executions.push(execution);
             }
         }
     }
 
-    fn look_at_members(&mut self, index: usize) {
-        if !self.hosts[index].runs() {
+    fn update_member_view(&mut self, index: usize) {
+        if !self.hosts[index].is_running() {
             return;
         }
         let Some((group, others)) = self.hosts[index].engine.others() else {
@@ -350,12 +350,12 @@
         let now = self.now;
         let engine = &mut self.hosts[index].engine;
         if engine.see_others(now, group, ready, count) {
-            self.lose_broken(index);
+            self.end_aborted_attempts(index);
         }
     }
 
     /// Records which groups are actually complete, independent of what daemons know.
-    fn note_complete(&mut self) {
+    fn record_complete_groups(&mut self) {
         let mut complete = Vec::new();
         for host in &self.hosts {
             let Some(membership) = &host.engine.membership else {
@@ -375,14 +375,14 @@
             }
         }
         for replica in complete {
-            self.oracle.complete_at.insert(replica, self.now);
+            self.oracle.last_complete_at.insert(replica, self.now);
         }
     }
 
     /// Takes a host down; attempts that run there are lost.
     pub fn kill_host(&mut self, index: usize) {
         self.hosts[index].kill();
-        self.lose_broken(index);
+        self.end_aborted_attempts(index);
     }
 }
 
--- a/shalehinge/tests/support/operations.rs
+++ b/shalehinge/tests/support/operations.rs
@@ -17,19 +17,19 @@
     /// Pauses a daemon; its clock advances.
     FreezeDaemon(u8),
     /// Resumes a frozen daemon.
-    WakeDaemon(u8),
+    UnfreezeDaemon(u8),
     /// Shuts a daemon down gracefully.
     StopDaemon(u8),
     /// Partitions a failure domain from the others.
-    CutDomain(u8),
+    PartitionDomain(u8),
     /// Partitions a failure domain from the platform.
-    CutPlatform(u8),
+    PartitionFromPlatform(u8),
     /// Removes all partitions.
-    HealCuts,
+    HealPartitions,
     /// Injects a fault into the platform.
     PlatformFault(u8),
     /// Removes the platform's fault.
-    PlatformWorks,
+    ClearPlatformFault,
     /// Takes a host down; its state is lost.
     KillHost(u8),
     /// Starts a host.
@@ -37,11 +37,11 @@
     /// Pauses a host.
     FreezeHost(u8),
     /// Resumes a frozen host.
-    WakeHost(u8),
+    UnfreezeHost(u8),
     /// Marks a host as leaving in the host list.
     HostLeaves(u8),
     /// Removes a host's leaving mark.
-    HostStays(u8),
+    CancelHostLeave(u8),
     /// Sends a request of a kind to a daemon.
     Request { daemon: u8, kind: u8, key: u8 },
     /// Sends eight requests to consecutive daemons, with partly equal kinds and keys.
@@ -51,7 +51,7 @@
     /// Confirms one of the newest plans.
     Confirm { daemon: u8, plan: u8 },
     /// Sends a daemon completions of attempts that belong to other requests or to none.
-    ConfuseAnswers(u8),
+    SendStrayCompletions(u8),
     /// Advances by 8 s.
     Settle,
 }
--- a/shalehinge/tests/support/oracle.rs
+++ b/shalehinge/tests/support/oracle.rs
@@ -31,7 +31,7 @@
     /// Number of times that it began to run at an upstream.
     pub executions: u32,
     /// Number of complete responses that were sent back for it.
-    pub whole_answers: u32,
+    pub complete_answers: u32,
     pub outcome: Option<Outcome>,
 }
 
@@ -41,25 +41,25 @@
     pub violations: Vec<String>,
     pub requests: BTreeMap<CallerRequest, RequestFacts>,
     /// Number of executions per idempotency key.
-    pub by_key: BTreeMap<KeyHash, u32>,
+    pub executions_by_key: BTreeMap<KeyHash, u32>,
     /// When each group was last complete.
-    pub complete_at: BTreeMap<ReplicaId, Duration>,
+    pub last_complete_at: BTreeMap<ReplicaId, Duration>,
     /// When each host was marked as leaving.
     pub leaving_at: BTreeMap<HostId, Duration>,
     /// Time since which there has been no partition, frozen daemon, platform fault, or start or
     /// end of a daemon.
-    pub calm_since: Duration,
+    pub undisturbed_since: Duration,
     /// Time of the last write of the configuration.
     pub config_written_at: Duration,
     /// Newest configuration in force so far, per daemon and run.
-    pub config_seen: BTreeMap<(usize, u64), FleetVersion>,
+    pub newest_config: BTreeMap<(usize, u64), FleetVersion>,
     pub refused_operations: BTreeSet<OperationId>,
     pub accepted_operations: BTreeSet<OperationId>,
 }
 
 impl Oracle {
     /// Records a violation.
-    pub fn violation(&mut self, text: String) {
+    pub fn report_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
@@ -73,18 +73,18 @@
         let (executions, repeatable, key) = (facts.executions, facts.repeatable, facts.key);
         let outcome = facts.outcome;
         if !repeatable && executions > 1 {
-            self.violation(format!("request {request} ran {executions} times"));
+            self.report_violation(format!("request {request} ran {executions} times"));
         }
         if let Some(key) = key {
-            let count = self.by_key.entry(key).or_default();
+            let count = self.executions_by_key.entry(key).or_default();
             *count += 1;
             if *count > 1 {
                 let count = *count;
-                self.violation(format!("key {key:?} ran {count} times"));
+                self.report_violation(format!("key {key:?} ran {count} times"));
             }
         }
         if matches!(outcome, Some(Outcome::NotRun { .. })) {
-            self.violation(format!(
+            self.report_violation(format!(
                 "request {request} ran after it was answered not run"
             ));
         }
@@ -97,15 +97,15 @@
             return;
         };
         let before = facts.outcome.replace(outcome);
-        let (executions, whole) = (facts.executions, facts.whole_answers);
+        let (executions, complete) = (facts.executions, facts.complete_answers);
         if before.is_some() {
-            self.violation(format!("request {request} was answered twice"));
+            self.report_violation(format!("request {request} was answered twice"));
         }
         if matches!(outcome, Outcome::NotRun { .. }) && executions > 0 {
-            self.violation(format!("request {request} ran and was answered not run"));
+            self.report_violation(format!("request {request} ran and was answered not run"));
         }
-        if outcome == Outcome::Completed && whole == 0 {
-            self.violation(format!(
+        if outcome == Outcome::Completed && complete == 0 {
+            self.report_violation(format!(
                 "request {request} was completed by the response to another request"
             ));
         }
@@ -114,9 +114,9 @@
     /// Checks that a group that a request is sent to was complete recently and has no member that
     /// has long been leaving.
     pub fn on_send(&mut self, now: Duration, replica: &ReplicaId, members: &[HostId]) {
-        let last = self.complete_at.get(replica).copied();
+        let last = self.last_complete_at.get(replica).copied();
         if last.is_none_or(|last| now > last + EVIDENCE_BOUND) {
-            self.violation(format!(
+            self.report_violation(format!(
                 "a request went to {replica}, last complete at {last:?}, now {now:?}"
             ));
         }
@@ -124,8 +124,8 @@
             let Some(leaving) = self.leaving_at.get(host) else {
                 continue;
             };
-            if now > (*leaving).max(self.calm_since) + LEAVING_BOUND {
-                self.violation(format!(
+            if now > (*leaving).max(self.undisturbed_since) + LEAVING_BOUND {
+                self.report_violation(format!(
                     "a request went to {replica} with leaving host {host}"
                 ));
             }
@@ -166,7 +166,7 @@
         in_force: FleetVersion,
         newest: FleetVersion,
     ) {
-        let highest = self.config_seen.entry((daemon, run)).or_default();
+        let highest = self.newest_config.entry((daemon, run)).or_default();
         if in_force < *highest {
             let highest = *highest;
             self.violations.push(format!(
@@ -176,7 +176,7 @@
         }
         *highest = in_force;
         let accepted = self.config_written_at.max(started_at) + CONFIG_BOUND;
-        let recovered = self.calm_since + RECOVERY_BOUND;
+        let recovered = self.undisturbed_since + RECOVERY_BOUND;
         if newest.supersedes(in_force) && now > accepted.max(recovered) {
             self.violations.push(format!(
                 "daemon {daemon} has {in_force:?} in force, {newest:?} was accepted at {:?}",
@@ -254,7 +254,7 @@
 pub type ObjectValue = shalehinge::core::objects::Versioned<Object>;
 
 /// Returns the members of a group; empty if the group doesn't exist.
-pub fn members_of(assignment: &Assignment, replica: &ReplicaId) -> Vec<HostId> {
+pub fn group_members(assignment: &Assignment, replica: &ReplicaId) -> Vec<HostId> {
     let group = assignment.groups.get(&replica.number);
     let members = group.map(|group| group.members.as_slice());
     let members = members.unwrap_or_default().iter();
--- a/shalehinge/tests/support/platform.rs
+++ b/shalehinge/tests/support/platform.rs
@@ -19,7 +19,7 @@
     /// A write is lost before it takes effect.
     LoseWrite,
     /// A write times out for its caller, and takes effect once the fault is removed.
-    LateWrite,
+    DelayWrite,
 }
 
 /// The fake platform.
@@ -27,22 +27,22 @@
     pub fault: Fault,
     pub objects: BTreeMap<ObjectKey, Versioned<Object>>,
     /// Writes that have yet to take effect.
-    pub late: Vec<PlatformCall>,
+    pub delayed_writes: Vec<PlatformCall>,
     /// All operations that changed the configuration, in order.
-    pub operations: Vec<OperationId>,
+    pub applied_operations: Vec<OperationId>,
     pub reads: u64,
     pub writes: u64,
     /// Revision of the store at the last write of each object.
     revisions: BTreeMap<ObjectKey, u64>,
     revision: u64,
     era: u32,
-    copy: Option<Copy>,
+    backup: Option<Backup>,
     /// Operations that changed the configuration, with the generation that each produced.
-    written: BTreeSet<(OperationId, u64)>,
+    applied_generations: BTreeSet<(OperationId, u64)>,
 }
 
 /// Content of a backup.
-struct Copy {
+struct Backup {
     objects: BTreeMap<ObjectKey, Versioned<Object>>,
     revisions: BTreeMap<ObjectKey, u64>,
     revision: u64,
@@ -53,15 +53,15 @@
         Self {
             fault: Fault::None,
             objects: BTreeMap::new(),
-            late: Vec::new(),
-            operations: Vec::new(),
+            delayed_writes: Vec::new(),
+            applied_operations: Vec::new(),
             reads: 0,
             writes: 0,
             revisions: BTreeMap::new(),
             revision: 0,
             era: 1,
-            copy: None,
-            written: BTreeSet::new(),
+            backup: None,
+            applied_generations: BTreeSet::new(),
         }
     }
 
@@ -80,15 +80,15 @@
             }
             PlatformCall::List { .. } => {
                 self.reads += 1;
-                Ok(self.changed(Version::NONE))
+                Ok(self.changes_since(Version::NONE))
             }
-            PlatformCall::Watch { after, .. } => Ok(self.changed(after)),
+            PlatformCall::Watch { after, .. } => Ok(self.changes_since(after)),
             PlatformCall::Put { .. } => {
                 self.writes += 1;
                 match self.fault {
                     Fault::LoseWrite => Err(NoAnswer),
-                    Fault::LateWrite => {
-                        self.late.push(call);
+                    Fault::DelayWrite => {
+                        self.delayed_writes.push(call);
                         Err(NoAnswer)
                     }
                     Fault::LoseAnswer => {
@@ -102,8 +102,8 @@
     }
 
     /// Applies the delayed writes.
-    pub fn land_late_writes(&mut self) {
-        for call in std::mem::take(&mut self.late) {
+    pub fn apply_delayed_writes(&mut self) {
+        for call in std::mem::take(&mut self.delayed_writes) {
             let _ = self.put(call);
         }
     }
@@ -132,9 +132,9 @@
         // Rewriting a configuration that a restore lost is not a new change.
         if let Object::Fleet(fleet) = &object
             && let Some(last) = fleet.operations.last()
-            && self.written.insert((last, fleet.generation))
+            && self.applied_generations.insert((last, fleet.generation))
         {
-            self.operations.push(last);
+            self.applied_operations.push(last);
         }
         self.revision += 1;
         self.revisions.insert(key.clone(), self.revision);
@@ -148,8 +148,8 @@
     }
 
     /// Takes a backup of the current content.
-    pub fn take_copy(&mut self) {
-        self.copy = Some(Copy {
+    pub fn take_backup(&mut self) {
+        self.backup = Some(Backup {
             objects: self.objects.clone(),
             revisions: self.revisions.clone(),
             revision: self.revision,
@@ -159,12 +159,12 @@
     /// Restores the backup, if there is one, in a new era: later writes are lost, and their
     /// version numbers are reused. Returns whether there was a backup.
     pub fn restore(&mut self) -> bool {
-        let Some(copy) = self.copy.take() else {
+        let Some(backup) = self.backup.take() else {
             return false;
         };
-        self.objects = copy.objects;
-        self.revisions = copy.revisions;
-        self.revision = copy.revision;
+        self.objects = backup.objects;
+        self.revisions = backup.revisions;
+        self.revision = backup.revision;
         self.era += 1;
         let era = self.era();
         for object in self.objects.values_mut() {
@@ -173,23 +173,23 @@
         true
     }
 
-    pub fn has_copy(&self) -> bool {
-        self.copy.is_some()
+    pub fn has_backup(&self) -> bool {
+        self.backup.is_some()
     }
 
-    pub fn drop_copy(&mut self) {
-        self.copy = None;
+    pub fn discard_backup(&mut self) {
+        self.backup = None;
     }
 
-    pub fn has_changed(&self, after: Version) -> bool {
-        match self.changed(after) {
+    pub fn has_changes_since(&self, after: Version) -> bool {
+        match self.changes_since(after) {
             PlatformReply::Objects { updates, .. } => !updates.is_empty(),
             _ => true,
         }
     }
 
     /// Returns the shared objects that changed after a revision.
-    pub fn changed(&self, after: Version) -> PlatformReply {
+    pub fn changes_since(&self, after: Version) -> PlatformReply {
         if after.number > self.revision {
             return PlatformReply::HistoryGone(self.era());
         }
--- a/shalehinge/tests/support/world.rs
+++ b/shalehinge/tests/support/world.rs
@@ -21,7 +21,7 @@
 
 use super::engines::FakeHost;
 use super::entry::Entry;
-use super::fabric::{Executing, HostMessage};
+use super::host_messages::{Execution, HostMessage};
 use super::oracle::{CallerRequest, Oracle};
 use super::platform::{FakePlatform, Fault};
 
@@ -85,12 +85,12 @@
     pub entries: Vec<Entry>,
     pub domains: Vec<FailureDomain>,
     /// Failure domains that are partitioned from the others.
-    pub cut: BTreeSet<FailureDomain>,
+    pub partitioned_domains: BTreeSet<FailureDomain>,
     /// Failure domains that are partitioned from the platform.
-    pub platform_cut: BTreeSet<FailureDomain>,
+    pub platform_partitioned_domains: BTreeSet<FailureDomain>,
     pub oracle: Oracle,
     pub plans: Vec<Plan>,
-    pub answers: Vec<(OperationId, OperatorAnswer)>,
+    pub operator_answers: Vec<(OperationId, OperatorAnswer)>,
     pub rng: SmallRng,
     /// Messages in transit, by time of delivery and sequence number.
     pub network: BTreeMap<(Duration, u64), Delivery>,
@@ -104,7 +104,7 @@
     pub operator_calls: BTreeMap<(usize, OperatorCallId), Option<OperationId>>,
     pub deadlines: BTreeMap<CallerRequest, Duration>,
     /// Attempts that are running at hosts.
-    pub executing: Vec<Executing>,
+    pub executions: Vec<Execution>,
 }
 
 impl World {
@@ -136,11 +136,11 @@
             hosts,
             entries,
             domains,
-            cut: BTreeSet::new(),
-            platform_cut: BTreeSet::new(),
+            partitioned_domains: BTreeSet::new(),
+            platform_partitioned_domains: BTreeSet::new(),
             oracle: Oracle::default(),
             plans: Vec::new(),
-            answers: Vec::new(),
+            operator_answers: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             network: BTreeMap::new(),
             next_message: 0,
@@ -151,7 +151,7 @@
             pulls: BTreeMap::new(),
             operator_calls: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            executing: Vec::new(),
+            executions: Vec::new(),
         };
         world.write_host_list();
         world
@@ -167,7 +167,10 @@
         }
         world.run_until("both replicas of each domain serve", |world| {
             world.serving_groups() == 4
-                && world.entries.iter().all(|entry| entry.sees(4, world.now))
+                && world
+                    .entries
+                    .iter()
+                    .all(|entry| entry.has_eligible_replicas(4, world.now))
         });
         world
     }
@@ -258,14 +261,14 @@
     pub fn step(&mut self) {
         self.now += STEP;
         self.deliver_due();
-        self.give_up_pulls();
+        self.time_out_pulls();
         self.answer_watches();
         for index in 0..self.entries.len() {
-            self.carry_out(index);
-            self.give(index, Event::Tick);
+            self.execute_actions(index);
+            self.deliver_event(index, Event::Tick);
         }
         self.step_hosts();
-        self.check();
+        self.check_invariants();
     }
 
     fn deliver_due(&mut self) {
@@ -279,7 +282,7 @@
     }
 
     /// Schedules a delivery.
-    pub fn send_in(&mut self, delay: Duration, delivery: Delivery) {
+    pub fn schedule_delivery(&mut self, delay: Duration, delivery: Delivery) {
         self.next_message += 1;
         let key = (self.now + delay, self.next_message);
         self.network.insert(key, delivery);
@@ -293,14 +296,14 @@
     /// Schedules an event for a daemon; it is dropped if the daemon restarts before.
     pub fn send_to_entry(&mut self, delay: Duration, entry: usize, run: u64, event: Event) {
         let event = Box::new(event);
-        self.send_in(delay, Delivery::Entry { entry, run, event });
+        self.schedule_delivery(delay, Delivery::Entry { entry, run, event });
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::Entry { entry, run, event } => {
                 if self.entries[entry].run == run {
-                    self.give(entry, *event);
+                    self.deliver_event(entry, *event);
                 }
             }
             Delivery::Platform {
@@ -308,18 +311,18 @@
                 run,
                 call,
                 request,
-            } => self.at_platform(entry, run, call, request),
+            } => self.handle_at_platform(entry, run, call, request),
             Delivery::Host {
                 entry,
                 run,
                 host,
                 message,
-            } => self.at_host(entry, run, host, message),
+            } => self.handle_at_host(entry, run, host, message),
         }
     }
 
     /// Passes an event to a daemon core, or queues it while the daemon is frozen.
-    pub fn give(&mut self, index: usize, event: Event) {
+    pub fn deliver_event(&mut self, index: usize, event: Event) {
         let now = self.now;
         let entry = &mut self.entries[index];
         let clock = entry.clock(now);
@@ -340,73 +343,74 @@
     pub fn start(&mut self, index: usize) {
         let now = self.now;
         self.entries[index].start(now);
-        self.disturb();
+        self.record_disturbance();
     }
 
     pub fn kill(&mut self, index: usize) {
         self.entries[index].kill();
-        self.disturb();
+        self.record_disturbance();
     }
 
     pub fn freeze(&mut self, index: usize) {
         self.entries[index].is_frozen = self.entries[index].core.is_some();
     }
 
-    pub fn wake(&mut self, index: usize) {
+    pub fn unfreeze(&mut self, index: usize) {
         if !self.entries[index].is_frozen {
             return;
         }
         self.entries[index].is_frozen = false;
-        self.disturb();
+        self.record_disturbance();
         // Actions that were decided before the freeze are executed first.
-        self.carry_out(index);
+        self.execute_actions(index);
         for event in std::mem::take(&mut self.entries[index].inbox) {
-            self.give(index, event);
+            self.deliver_event(index, event);
         }
     }
 
     pub fn stop(&mut self, index: usize) {
-        if self.entries[index].runs() {
+        if self.entries[index].is_running() {
             self.entries[index].is_stopping = true;
-            self.disturb();
-            self.give(index, Event::Stop);
+            self.record_disturbance();
+            self.deliver_event(index, Event::Stop);
         }
     }
 
     /// Records a disturbance, so that time limits count from now.
-    pub fn disturb(&mut self) {
-        self.oracle.calm_since = self.now;
+    pub fn record_disturbance(&mut self) {
+        self.oracle.undisturbed_since = self.now;
     }
 
     // --- actions ---
 
-    fn carry_out(&mut self, index: usize) {
-        if !self.entries[index].runs() {
+    fn execute_actions(&mut self, index: usize) {
+        if !self.entries[index].is_running() {
             return;
         }
         let actions = std::mem::take(&mut self.entries[index].outbox);
         let has_stopped = actions.contains(&Action::Stopped);
         for action in actions {
-            self.act(index, action);
+            self.execute_action(index, action);
         }
         // The process exits after it has executed all actions decided so far.
         if has_stopped {
-            self.stopped(index);
+            self.handle_stopped(index);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn execute_action(&mut self, index: usize, action: Action) {
         let run = self.entries[index].run;
         match action {
             Action::Platform { call, request } => self.call_platform(index, run, call, request),
             Action::Pull { to, pull } => self.pull(index, run, to, pull),
             Action::AnswerPull { pull_id, reply } => {
-                let asker = self.pulls.get(&pull_id).map(|pull| pull.entry);
-                let is_cut =
-                    asker.is_none_or(|asker| !self.reaches(index, &self.entries[asker].domain));
-                if !is_cut && let Some(pull) = self.pulls.remove(&pull_id) {
+                let requester = self.pulls.get(&pull_id).map(|pull| pull.entry);
+                let is_partitioned = requester.is_none_or(|requester| {
+                    !self.can_reach(index, &self.entries[requester].domain)
+                });
+                if !is_partitioned && let Some(pull) = self.pulls.remove(&pull_id) {
                     let delay = self.delay();
-                    self.end_pull(delay, &pull, Some(reply));
+                    self.schedule_pull_answer(delay, &pull, Some(reply));
                 }
             }
             Action::Notify { to, notice } => self.notify(index, to, notice),
@@ -433,32 +437,34 @@
                 }
             }
             Action::Send(attempt) => self.send_attempt(index, run, attempt),
-            Action::Abandon(attempt) => self.abandon(index, attempt),
+            Action::Abandon(attempt) => self.handle_abandon(index, attempt),
             Action::CheckUpstream { upstream, .. } => {
                 // Every lost attempt is reported as a crash: no invariant may depend on this.
                 let is_gone = true;
                 let event = Event::UpstreamChecked { upstream, is_gone };
                 self.send_to_entry(Duration::ZERO, index, run, event);
             }
-            Action::Answer { request, outcome } => self.answer(index, request, outcome),
+            Action::Answer { request, outcome } => self.handle_answer(index, request, outcome),
             Action::AnswerOperator { call_id, answer } => {
-                self.answer_operator(index, call_id, answer);
+                self.record_operator_answer(index, call_id, answer);
             }
             Action::Log(_) | Action::Stopped => {}
         }
     }
 
     /// Whether an entry host can exchange messages with a failure domain.
-    pub fn reaches(&self, index: usize, other: &FailureDomain) -> bool {
+    pub fn can_reach(&self, index: usize, other: &FailureDomain) -> bool {
         let own = &self.entries[index].domain;
-        own == other || (!self.cut.contains(own) && !self.cut.contains(other))
+        own == other
+            || (!self.partitioned_domains.contains(own)
+                && !self.partitioned_domains.contains(other))
     }
 
-    fn stopped(&mut self, index: usize) {
+    fn handle_stopped(&mut self, index: usize) {
         let left: Vec<CallerRequest> = self.entries[index].requests.values().copied().collect();
         if !left.is_empty() {
             let text = format!("daemon {index} stopped with requests {left:?} in progress");
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
         self.kill(index);
     }
@@ -466,7 +472,10 @@
     // --- platform ---
 
     fn call_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
-        if self.platform_cut.contains(&self.entries[entry].domain) {
+        if self
+            .platform_partitioned_domains
+            .contains(&self.entries[entry].domain)
+        {
             let result = Err(NoAnswer);
             let event = Event::Platform { call, result };
             self.send_to_entry(PLATFORM_TIMEOUT, entry, run, event);
@@ -479,10 +488,10 @@
             call,
             request,
         };
-        self.send_in(delay, delivery);
+        self.schedule_delivery(delay, delivery);
     }
 
-    fn at_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
+    fn handle_at_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
         if let PlatformCall::Watch { after, .. } = request
             && self.platform.fault == Fault::None
         {
@@ -507,7 +516,9 @@
         if writes_config {
             self.oracle.config_written_at = self.now;
         }
-        let is_lost = self.platform_cut.contains(&self.entries[entry].domain);
+        let is_lost = self
+            .platform_partitioned_domains
+            .contains(&self.entries[entry].domain);
         let result = if is_lost { Err(NoAnswer) } else { result };
         let delay = if result.is_err() {
             PLATFORM_TIMEOUT
@@ -520,17 +531,17 @@
     fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             let is_lost = self
-                .platform_cut
+                .platform_partitioned_domains
                 .contains(&self.entries[watch.entry].domain)
                 || self.platform.fault == Fault::Down;
-            let is_due = self.platform.has_changed(watch.after) || self.now >= watch.until;
+            let is_due = self.platform.has_changes_since(watch.after) || self.now >= watch.until;
             let call = watch.call;
             if is_lost {
                 let result = Err(NoAnswer);
                 let event = Event::Platform { call, result };
                 self.send_to_entry(PLATFORM_TIMEOUT, watch.entry, watch.run, event);
             } else if is_due {
-                let result = Ok(self.platform.changed(watch.after));
+                let result = Ok(self.platform.changes_since(watch.after));
                 let delay = self.delay();
                 let event = Event::Platform { call, result };
                 self.send_to_entry(delay, watch.entry, watch.run, event);
@@ -542,11 +553,16 @@
 
     // --- peers ---
 
-    fn entry_at(&self, address: SocketAddr) -> Option<usize> {
+    fn entry_by_address(&self, address: SocketAddr) -> Option<usize> {
         self.entries.iter().position(|e| e.address == address)
     }
 
-    fn end_pull(&mut self, delay: Duration, pull: &PendingPull, reply: Option<PullReply>) {
+    fn schedule_pull_answer(
+        &mut self,
+        delay: Duration,
+        pull: &PendingPull,
+        reply: Option<PullReply>,
+    ) {
         let event = Event::PullAnswered {
             topic: pull.topic,
             asked_at: shalehinge::core::types::Timestamp::ZERO,
@@ -556,14 +572,15 @@
     }
 
     /// Ends pulls that timed out, as their peer died or was partitioned before it answered.
-    fn give_up_pulls(&mut self) {
+    fn time_out_pulls(&mut self) {
         let now = self.now;
         let pulls = std::mem::take(&mut self.pulls);
-        let is_over = |pull: &PendingPull| now >= pull.until;
-        let (over, open): (Vec<_>, Vec<_>) = pulls.into_iter().partition(|(_, p)| is_over(p));
+        let has_timed_out = |pull: &PendingPull| now >= pull.until;
+        let (timed_out, open): (Vec<_>, Vec<_>) =
+            pulls.into_iter().partition(|(_, p)| has_timed_out(p));
         self.pulls = open.into_iter().collect();
-        for (_, pull) in over {
-            self.end_pull(Duration::ZERO, &pull, None);
+        for (_, pull) in timed_out {
+            self.schedule_pull_answer(Duration::ZERO, &pull, None);
         }
     }
 
@@ -574,13 +591,13 @@
             topic: pull.topic,
             until: self.now + CALL_TIMEOUT,
         };
-        let target = self.entry_at(to);
+        let target = self.entry_by_address(to);
         let target = target.filter(|target| {
             let target = &self.entries[*target];
-            target.runs() && self.reaches(index, &target.domain)
+            target.is_running() && self.can_reach(index, &target.domain)
         });
         let Some(target) = target else {
-            self.end_pull(CALL_TIMEOUT, &pending, None);
+            self.schedule_pull_answer(CALL_TIMEOUT, &pending, None);
             return;
         };
         let pull_id = PullId(self.next_pull);
@@ -597,10 +614,10 @@
     }
 
     fn notify(&mut self, index: usize, to: SocketAddr, notice: shalehinge::core::event::Notice) {
-        let Some(target) = self.entry_at(to) else {
+        let Some(target) = self.entry_by_address(to) else {
             return;
         };
-        if !self.reaches(index, &self.entries[target].domain.clone()) {
+        if !self.can_reach(index, &self.entries[target].domain.clone()) {
             return;
         }
         let run = self.entries[target].run;
@@ -612,8 +629,8 @@
         }
     }
 
-    fn abandon(&mut self, index: usize, attempt: AttemptId) {
-        let Some(request) = self.entries[index].running.remove(&attempt) else {
+    fn handle_abandon(&mut self, index: usize, attempt: AttemptId) {
+        let Some(request) = self.entries[index].open_attempts.remove(&attempt) else {
             return;
         };
         let caller = self.entries[index].requests.get(&request).copied();
@@ -622,13 +639,13 @@
         let slack = Duration::from_millis(500);
         if deadline.is_some_and(|deadline| self.now + slack < deadline) {
             let text = format!("daemon {index} aborted request {caller:?} before its deadline");
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
     }
 
-    fn answer(&mut self, index: usize, request: RequestId, outcome: Outcome) {
+    fn handle_answer(&mut self, index: usize, request: RequestId, outcome: Outcome) {
         let entry = &mut self.entries[index];
-        entry.running.retain(|_, running| *running != request);
+        entry.open_attempts.retain(|_, running| *running != request);
         if let Some(caller) = entry.requests.remove(&request) {
             self.oracle.on_answer(caller, outcome);
         }
