--- a/shalehinge/src/cli/mod.rs
+++ b/shalehinge/src/cli/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Runs one command.
+/// Runs a command and returns the text to print with the exit code.
 pub async fn run(arguments: Arguments) -> CommandResult {
     let token = match read_token(&arguments) {
         Ok(token) => token,
--- a/shalehinge/src/settings/learning.rs
+++ b/shalehinge/src/settings/learning.rs
@@ -40,8 +40,8 @@
     /// Without it, a daemon keeps serving by an older configuration until it receives the newer
     /// one.
     pub in_force_within: Option<Duration>,
-    /// Maximum age of the configuration at which a request may be permanently rejected for an
-    /// unknown name or key. Without it, any age.
+    /// Maximum age of the configuration at which a request may be permanently rejected as
+    /// unknown. Without it, any age.
     pub refuse_within: Option<Duration>,
 }
 
--- a/shalehinge/src/settings/router.rs
+++ b/shalehinge/src/settings/router.rs
@@ -59,12 +59,12 @@
     /// A listed replica with requests running is considered to have lost a member if none of them
     /// makes progress for this long.
     pub stall_after: Duration,
-    /// The same, until the lease holder is notified, which then probes the members.
+    /// As `stall_after`, but until the lease holder is notified, which then probes the members.
     pub suspect_after: Duration,
     /// Whether `retry_burst` applies to the fleet as a whole and is divided among its daemons.
     pub retry_burst_is_shared: bool,
     /// Number of upstreams that must crash while running a request, with none completing it,
-    /// before the request is retried on its own; 0 disables this.
+    /// before the request is retried in isolation; 0 disables this.
     pub quarantine_after: u32,
     /// How long a request that is proven to crash upstreams is rejected after the last crash.
     pub quarantine_for: Duration,
--- a/shalehinge/tests/support/apply.rs
+++ b/shalehinge/tests/support/apply.rs
@@ -339,7 +339,7 @@
     }
 
     /// Restores the platform from its backup, if there is one. Pending watches fail, and the host
-    /// list is written again by its writer.
+    /// list is rewritten, as the platform's list maintainer would do.
     pub fn restore_platform(&mut self) {
         if !self.platform.restore() {
             return;
--- a/shalehinge/tests/support/operations.rs
+++ b/shalehinge/tests/support/operations.rs
@@ -42,11 +42,11 @@
     HostLeaves(u8),
     /// Removes a host's leaving mark.
     CancelHostLeave(u8),
-    /// Sends a request of a kind to a daemon.
+    /// Sends a request to a daemon; `kind` selects whether it has a key and is repeatable.
     Request { daemon: u8, kind: u8, key: u8 },
     /// Sends eight requests to consecutive daemons, with partly equal kinds and keys.
     Burst { daemon: u8, kind: u8, key: u8 },
-    /// Plans a change of a kind.
+    /// Plans a change; `kind` selects which one, `value` its argument.
     Plan { daemon: u8, kind: u8, value: u8 },
     /// Confirms one of the newest plans.
     Confirm { daemon: u8, plan: u8 },
--- a/shalehinge/tests/support/oracle.rs
+++ b/shalehinge/tests/support/oracle.rs
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Checks the answers to operators against the changes that took effect: refused ones never,
-    /// and accepted ones exactly once.
+    /// Checks that changes reported to operators as refused never took effect, and accepted ones
+    /// exactly once.
     pub fn check_operations(&mut self, applied: &[OperationId]) {
         for operation in applied {
             if self.refused_operations.contains(operation) {
--- a/shalehinge/tests/support/platform.rs
+++ b/shalehinge/tests/support/platform.rs
@@ -26,7 +26,7 @@
 pub struct FakePlatform {
     pub fault: Fault,
     pub objects: BTreeMap<ObjectKey, Versioned<Object>>,
-    /// Writes that have yet to take effect.
+    /// Writes that have not taken effect yet.
     pub delayed_writes: Vec<PlatformCall>,
     /// All operations that changed the configuration, in order.
     pub applied_operations: Vec<OperationId>,
