--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -16,7 +16,7 @@
 use crate::core::types::{FailureDomain, StoreEra, Version};
 use crate::utils::http::{AnswerLimits, pooled_client, url};
 
-/// Response header that carries the store era; present on every response.
+/// Response header that carries the store era. Without it, the era counts as unreported.
 pub const ERA_HEADER: &str = "x-shalehinge-era";
 /// Comma-separated kinds of the objects that are listed and watched together.
 pub const SHARED_KINDS: &str = "config,hosts,assignments";
--- a/shalehinge/tests/support/engines.rs
+++ b/shalehinge/tests/support/engines.rs
@@ -14,6 +14,7 @@
     pub id: HostId,
     pub address: SocketAddr,
     pub domain: FailureDomain,
+    /// Whether it is up, possibly frozen.
     pub is_alive: bool,
     pub is_frozen: bool,
     pub engine: HostEngine,
--- a/shalehinge/tests/support/host_messages.rs
+++ b/shalehinge/tests/support/host_messages.rs
@@ -17,23 +17,25 @@
 
 /// A message to a host.
 pub enum HostMessage {
+    /// Asks for the engine's status.
     Status {
         purpose: StatusPurpose,
         asked_at: Timestamp,
     },
-    Order {
-        order: Order,
-        asked_at: Timestamp,
-    },
+    /// Gives the engine an order.
+    Order { order: Order, asked_at: Timestamp },
+    /// Runs a request.
     Attempt(Attempt),
 }
 
 /// An attempt that is running at a host.
 pub struct Execution {
     pub entry: usize,
+    /// Run of the daemon that sent it; the end is dropped if it has been restarted.
     pub run: u64,
     pub host: usize,
     pub attempt: Attempt,
+    /// When it finishes.
     pub until: Duration,
 }
 
--- a/shalehinge/tests/support/oracle.rs
+++ b/shalehinge/tests/support/oracle.rs
@@ -32,12 +32,14 @@
     pub executions: u32,
     /// Number of complete responses that were sent back for it.
     pub complete_answers: u32,
+    /// Final answer, if there was one.
     pub outcome: Option<Outcome>,
 }
 
 /// Records what happened and the violations of invariants.
 #[derive(Default)]
 pub struct Oracle {
+    /// Descriptions of the violations found so far.
     pub violations: Vec<String>,
     pub requests: BTreeMap<CallerRequest, RequestFacts>,
     /// Number of executions per idempotency key.
@@ -53,7 +55,9 @@
     pub config_written_at: Duration,
     /// Newest configuration in force so far, per daemon and run.
     pub newest_config: BTreeMap<(usize, u64), FleetVersion>,
+    /// Operations that operators were told had no effect.
     pub refused_operations: BTreeSet<OperationId>,
+    /// Operations that operators were told were accepted.
     pub accepted_operations: BTreeSet<OperationId>,
 }
 
--- a/shalehinge/tests/support/platform.rs
+++ b/shalehinge/tests/support/platform.rs
@@ -30,7 +30,9 @@
     pub delayed_writes: Vec<PlatformCall>,
     /// All operations that changed the configuration, in order.
     pub applied_operations: Vec<OperationId>,
+    /// Number of get and list calls.
     pub reads: u64,
+    /// Number of put calls, including those that a fault suppressed.
     pub writes: u64,
     /// Revision of the store at the last write of each object.
     revisions: BTreeMap<ObjectKey, u64>,
@@ -177,10 +179,12 @@
         self.backup.is_some()
     }
 
+    /// Discards the backup, if there is one.
     pub fn discard_backup(&mut self) {
         self.backup = None;
     }
 
+    /// Whether a watch from this revision would be answered at once.
     pub fn has_changes_since(&self, after: Version) -> bool {
         match self.changes_since(after) {
             PlatformReply::Objects { updates, .. } => !updates.is_empty(),
--- a/shalehinge/tests/support/world.rs
+++ b/shalehinge/tests/support/world.rs
@@ -63,9 +63,11 @@
 /// A watch that is waiting for a change.
 pub struct PendingWatch {
     pub entry: usize,
+    /// Run of the daemon that watches; the answer is dropped if it has been restarted.
     pub run: u64,
     pub call: CallId,
     pub after: Version,
+    /// When it is answered even without a change.
     pub until: Duration,
 }
 
@@ -74,11 +76,13 @@
     entry: usize,
     run: u64,
     topic: PullTopic,
+    /// When it times out.
     until: Duration,
 }
 
 /// The simulated fleet.
 pub struct World {
+    /// Simulated time.
     pub now: Duration,
     pub platform: FakePlatform,
     pub hosts: Vec<FakeHost>,
@@ -89,7 +93,9 @@
     /// Failure domains that are partitioned from the platform.
     pub platform_partitioned_domains: BTreeSet<FailureDomain>,
     pub oracle: Oracle,
+    /// All plans that daemons returned, oldest first.
     pub plans: Vec<Plan>,
+    /// Answers to confirms.
     pub operator_answers: Vec<(OperationId, OperatorAnswer)>,
     pub rng: SmallRng,
     /// Messages in transit, by time of delivery and sequence number.
@@ -98,10 +104,12 @@
     pub next_request: CallerRequest,
     pub next_operation: u64,
     pub next_pull: u64,
+    /// Watches that are waiting for a change.
     pub watches: Vec<PendingWatch>,
     pub pulls: BTreeMap<PullId, PendingPull>,
     /// Operator calls in progress, by daemon, with the operation that each confirms.
     pub operator_calls: BTreeMap<(usize, OperatorCallId), Option<OperationId>>,
+    /// Deadlines of callers' requests, in simulated time.
     pub deadlines: BTreeMap<CallerRequest, Duration>,
     /// Attempts that are running at hosts.
     pub executions: Vec<Execution>,
@@ -340,21 +348,25 @@
 
     // --- entry hosts ---
 
+    /// Starts a daemon with empty state, unless it is running.
     pub fn start(&mut self, index: usize) {
         let now = self.now;
         self.entries[index].start(now);
         self.record_disturbance();
     }
 
+    /// Kills a daemon without a shutdown.
     pub fn kill(&mut self, index: usize) {
         self.entries[index].kill();
         self.record_disturbance();
     }
 
+    /// Pauses a running daemon; its clock advances and its events are queued.
     pub fn freeze(&mut self, index: usize) {
         self.entries[index].is_frozen = self.entries[index].core.is_some();
     }
 
+    /// Resumes a frozen daemon, which then handles the queued events.
     pub fn unfreeze(&mut self, index: usize) {
         if !self.entries[index].is_frozen {
             return;
@@ -368,6 +380,7 @@
         }
     }
 
+    /// Asks a running daemon to shut down.
     pub fn stop(&mut self, index: usize) {
         if self.entries[index].is_running() {
             self.entries[index].is_stopping = true;
