--- a/shalehinge/src/cli/mod.rs
+++ b/shalehinge/src/cli/mod.rs
@@ -1,10 +1,10 @@
-//! The operators' client: states a change, shows its plan, confirms it.
+//! The operators' client: plans a change, shows the plan, and confirms it.
 //!
-//! Nothing changes until `confirm`. Exit codes mean something: see [`ExitCode`].
+//! Nothing changes until `confirm`. The exit code gives the result: see [`ExitCode`].
 //!
-//! - `arguments`: the command line
-//! - `client`: calls to a daemon
-//! - `render`: plans and status as text
+//! - `arguments`: command-line arguments
+//! - `client`: HTTP client for a daemon's operator API
+//! - `render`: renders plans and status as text
 
 pub mod arguments;
 pub mod client;
@@ -19,31 +19,31 @@
 use crate::core::operator::{Confirm, OperatorAnswer, Plan};
 use crate::core::types::{Customer, HostId, ModelName, ModelVersion, OperationId};
 
-/// What the exit code of the client says.
+/// Exit code of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCode {
-    /// Done as asked.
+    /// The command succeeded.
     Done = 0,
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid, or the daemon rejected the call.
     Usage = 1,
-    /// The change makes no sense; nothing changed.
+    /// The change is invalid; nothing changed.
     Refused = 2,
     /// The plan is out of date; nothing changed.
     OutOfDate = 3,
-    /// The daemon or the platform does not answer; nothing changed.
+    /// The daemon or the platform is not available; nothing changed.
     Unavailable = 4,
-    /// It is not known whether the change was accepted; confirm again.
+    /// It is unknown whether the change was accepted; confirm again.
     Unclear = 5,
-    /// The token is not accepted.
+    /// The daemon rejected the token.
     Unauthorized = 6,
 }
 
-/// What a command came to: the text to print, and the exit code.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandResult {
-    /// Text for the standard output, or the standard error if it failed.
+    /// Text for standard output, or for standard error if the command failed.
     pub text: String,
-    /// The exit code.
+    /// Exit code of the process.
     pub code: ExitCode,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Runs one command.
+/// Runs a command and returns the text to print with the exit code.
 pub async fn run(arguments: Arguments) -> CommandResult {
     let token = match read_token(&arguments) {
         Ok(token) => token,
@@ -71,7 +71,7 @@
     match arguments.command {
         Command::Status(_) => status(&client, json).await,
         Command::Confirm(confirm) => confirm_plan(&client, &confirm.plan, json).await,
-        other => match change_of(other) {
+        other => match requested_change(other) {
             Ok((change, save)) => plan(&client, change, &save, json).await,
             Err(result) => result,
         },
@@ -83,14 +83,14 @@
     let text = fs::read_to_string(path).map_err(|error| {
         let path = path.display();
         CommandResult::usage(format!(
-            "the token file {path} can't be read: {error}; name one with --token-file"
+            "failed to read token file {path}: {error}; specify it with --token-file"
         ))
     })?;
     Ok(text.trim().to_owned())
 }
 
-/// The change that a command asks for, and where its plan is saved.
-fn change_of(command: Command) -> Result<(Change, std::path::PathBuf), CommandResult> {
+/// Returns the change that a command requests, and the path to save its plan to.
+fn requested_change(command: Command) -> Result<(Change, std::path::PathBuf), CommandResult> {
     Ok(match command {
         Command::Intent(intent) => {
             let change = Change::Intent {
@@ -135,39 +135,46 @@
             (change, configure.save)
         }
         Command::Plan(plan) => {
-            let change = read_json(&plan.change, "a change, as in docs/INTERFACES.md")?;
+            let change = read_json(&plan.change, "a change as described in docs/INTERFACES.md")?;
             (change, plan.save)
         }
         Command::Status(_) | Command::Confirm(_) => {
-            return Err(CommandResult::usage("this command states no change"));
+            return Err(CommandResult::usage(
+                "this command does not request a change",
+            ));
         }
     })
 }
 
 fn read_configuration(path: &Path) -> Result<Configuration, CommandResult> {
-    read_json(path, "a configuration, as in docs/CONFIGURATION.md")
+    read_json(
+        path,
+        "a configuration as described in docs/CONFIGURATION.md",
+    )
 }
 
 fn read_json<T: serde::de::DeserializeOwned>(path: &Path, what: &str) -> Result<T, CommandResult> {
-    let shown = path.display();
+    let display = path.display();
     let text = fs::read_to_string(path)
-        .map_err(|error| CommandResult::usage(format!("{shown} can't be read: {error}")))?;
+        .map_err(|error| CommandResult::usage(format!("failed to read {display}: {error}")))?;
     serde_json::from_str(&text).map_err(|error| {
-        CommandResult::usage(format!("{shown} is not {what}: {error}; mend that place"))
+        CommandResult::usage(format!(
+            "{display} is not {what}: {error}; correct the file there"
+        ))
     })
 }
 
 async fn plan(client: &OperatorClient, change: Change, save: &Path, json: bool) -> CommandResult {
     let answer = match client.plan(&change).await {
         Ok(answer) => answer,
-        Err(error) => return call_failed(&error),
+        Err(error) => return call_error_result(&error),
     };
     if let OperatorAnswer::Planned(plan) = &answer
         && let Err(error) = save_plan(plan, save)
     {
         return error;
     }
-    answered(&answer, Some(save), json)
+    answer_result(&answer, Some(save), json)
 }
 
 fn save_plan(plan: &Plan, path: &Path) -> Result<(), CommandResult> {
@@ -175,7 +182,7 @@
     fs::write(path, text).map_err(|error| {
         let path = path.display();
         CommandResult::usage(format!(
-            "the plan can't be saved to {path}: {error}; name another file with --save"
+            "failed to save the plan to {path}: {error}; specify another file with --save"
         ))
     })
 }
@@ -186,19 +193,20 @@
         Err(result) => return result,
     };
     let confirm = Confirm {
-        operation: operation_of(&plan),
+        operation: operation_id(&plan),
         base: plan.base,
         digest: plan.digest,
         change: plan.change,
     };
     match client.confirm(&confirm).await {
-        Ok(answer) => answered(&answer, None, json),
-        Err(error) => call_failed(&error),
+        Ok(answer) => answer_result(&answer, None, json),
+        Err(error) => call_error_result(&error),
     }
 }
 
-/// The same for each confirm of one plan, so that a repeated one is recognised.
-fn operation_of(plan: &Plan) -> OperationId {
+/// Derives the operation ID from the digest of the plan, so that the daemon recognizes a repeated
+/// confirm of the same plan.
+fn operation_id(plan: &Plan) -> OperationId {
     const DIGITS: usize = 16;
     let digits = plan.digest.get(..DIGITS).unwrap_or_default();
     OperationId(u64::from_str_radix(digits, 16).unwrap_or_default())
@@ -211,11 +219,11 @@
             CommandResult::new(text, ExitCode::Done)
         }
         Ok(status) => CommandResult::new(render::status(&status), ExitCode::Done),
-        Err(error) => call_failed(&error),
+        Err(error) => call_error_result(&error),
     }
 }
 
-fn call_failed(error: &CallError) -> CommandResult {
+fn call_error_result(error: &CallError) -> CommandResult {
     let code = match error {
         CallError::Unauthorized => ExitCode::Unauthorized,
         CallError::Unreachable(_) | CallError::Unreadable => ExitCode::Unavailable,
@@ -225,7 +233,7 @@
     CommandResult::new(error.to_string(), code)
 }
 
-fn answered(answer: &OperatorAnswer, saved: Option<&Path>, json: bool) -> CommandResult {
+fn answer_result(answer: &OperatorAnswer, saved: Option<&Path>, json: bool) -> CommandResult {
     let code = match answer {
         OperatorAnswer::Planned(_) | OperatorAnswer::Confirmed { .. } => ExitCode::Done,
         OperatorAnswer::OutOfDate { .. } => ExitCode::OutOfDate,
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators and their client call: plans, confirms, status, metrics.
+//! The HTTP API for operators and their client: plan, confirm, status and metrics.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,97 +20,99 @@
 use crate::gateway::access::bearer_sha256;
 use crate::process::Driver;
 
-/// Path of plans.
+/// Path of the call that plans a change.
 pub const PLAN_PATH: &str = "/v1/plan";
-/// Path of confirms.
+/// Path of the call that confirms a plan.
 pub const CONFIRM_PATH: &str = "/v1/confirm";
-/// Path of the status.
+/// Path of the fleet status.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Bytes of an operator's call at most.
-const MAX_CALL: u64 = 1024 * 1024;
+/// Maximum size of an operator's request body, in bytes.
+const MAX_BODY_BYTES: u64 = 1024 * 1024;
 
-/// The fleet as one daemon sees it.
+/// Status of the fleet, from the point of view of one daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The daemon that answers.
+    /// The daemon that responds.
     pub daemon: DaemonId,
-    /// Version of the configuration in force here.
+    /// Version of the configuration in force at the responding daemon.
     pub version: FleetVersion,
-    /// All live daemons that this one knows.
+    /// All live daemons that the responding daemon knows, including itself, sorted by name.
     pub daemons: Vec<DaemonStatus>,
-    /// Failure domains.
+    /// Failure domains in the platform's host list.
     pub domains: BTreeMap<FailureDomain, DomainStatus>,
-    /// Models.
+    /// Models in the configuration.
     pub models: Vec<ModelStatus>,
-    /// Shares of the customers.
+    /// Share of each customer, as a weight relative to the others.
     pub shares: BTreeMap<Customer, u32>,
-    /// Hosts being drained.
+    /// Hosts that the configuration drains.
     pub draining: Vec<HostId>,
 }
 
-/// A live daemon.
+/// Status of a live daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// Its name.
+    /// Name of the daemon.
     pub daemon: DaemonId,
-    /// Where it is.
+    /// Failure domain of the daemon.
     pub failure_domain: FailureDomain,
-    /// Version of the configuration in force there, as last heard.
+    /// Version of the configuration in force there, as last received by gossip.
     pub version: FleetVersion,
-    /// It is stopping.
+    /// Whether the daemon is shutting down.
     pub leaving: bool,
 }
 
-/// A failure domain.
+/// Status of a failure domain.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DomainStatus {
-    /// Hosts in the platform's list.
+    /// Number of hosts in the platform's host list.
     pub hosts: usize,
-    /// Hosts in no group.
+    /// Number of hosts that belong to no group.
     pub free_hosts: usize,
-    /// Idle accelerators around which no complete group can form.
+    /// Idle accelerators on hosts that can't form a complete group.
     pub stranded_accelerators: u32,
-    /// Who holds its control lease, where this daemon knows.
+    /// Holder of the control lease; known only for the responding daemon's own failure domain.
     pub holder: Option<DaemonId>,
-    /// Its groups.
+    /// Host groups of the failure domain.
     pub groups: Vec<GroupStatus>,
     /// Hosts that have yet to acknowledge their release.
     pub releasing: Vec<HostId>,
 }
 
-/// A host group.
+/// Status of a host group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// Its number.
+    /// Number of the group, unique within the failure domain.
     pub number: GroupNumber,
-    /// Model.
+    /// Model that the group serves.
     pub model: ModelName,
-    /// Version.
+    /// Version of the model.
     pub version: ModelVersion,
-    /// How far it is.
+    /// Phase of the group's life cycle.
     pub phase: GroupPhase,
-    /// Members by rank.
+    /// Member hosts, ordered by rank.
     pub hosts: Vec<HostId>,
-    /// Whether this daemon would send it requests; `None` if it is no candidate here.
+    /// Whether the responding daemon would route requests to the group; `None` if the group is not
+    /// among its candidates.
     pub in_routing: Option<bool>,
 }
 
-/// A model.
+/// Status of a model.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ModelStatus {
-    /// Its name.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version wanted.
+    /// Desired version.
     pub version: ModelVersion,
-    /// Replicas wanted.
+    /// Desired number of replicas.
     pub wanted: u32,
-    /// Replicas that serve, by the assignments.
+    /// Number of replicas in phase serving, according to the assignments.
     pub serving: u32,
-    /// Replicas that this daemon may send to now.
+    /// Number of replicas that the responding daemon may route requests to now.
     pub eligible_here: usize,
 }
 
-/// Handles operators.
+/// Builds the handler of the operator API. Plan, confirm and status require the bearer token whose
+/// SHA-256, in hexadecimal, is `token_sha256`; metrics are public.
 pub fn handler(driver: Arc<Driver>, token_sha256: String) -> impl Handler {
     let plans = Context {
         driver,
@@ -133,16 +135,16 @@
             async move { context.status(conn) }
         })
         .get("/metrics", move |conn: Conn| {
-            let mut page = metrics.driver.metrics.page();
-            page.push_str(&store_page(&metrics.driver));
-            page.push_str(&signals_page(&metrics.driver));
+            let mut page = metrics.driver.metrics.render();
+            page.push_str(&store_gauges(&metrics.driver));
+            page.push_str(&upstream_gauges(&metrics.driver));
             async move { conn.ok(page) }
         })
 }
 
-/// Gauges of the platform's store: its era, if it tells one, and whether what was known of hosts in
-/// the era before still stands.
-fn store_page(driver: &Driver) -> String {
+/// Renders gauges of the platform's store: its era, if it reports one, and whether the daemon
+/// still keeps host records from the previous era.
+fn store_gauges(driver: &Driver) -> String {
     driver.read(|_, core| {
         let era = core.store_era().and_then(StoreEra::number);
         let era = era.map(|era| format!("shalehinge.platform.era {era}\n"));
@@ -152,10 +154,10 @@
     })
 }
 
-/// Gauges of what upstreams state about themselves, a line each, by what this daemon knows: the
-/// requests a second that one takes from all daemons together, the seconds left of a cooldown, and 1
-/// for one that is leaving.
-fn signals_page(driver: &Driver) -> String {
+/// Renders gauges of the signals that upstreams send about themselves, one line each, as known to
+/// this daemon: the request rate per second that the upstream accepts from all daemons together,
+/// the remaining cooldown in seconds, and 1 for an upstream that is leaving.
+fn upstream_gauges(driver: &Driver) -> String {
     driver.read(|now, core| {
         let router = core.router();
         let limited = router.limited_upstreams();
@@ -181,51 +183,55 @@
 }
 
 impl Context {
-    fn is_allowed(&self, conn: &Conn) -> bool {
+    fn is_authorized(&self, conn: &Conn) -> bool {
         bearer_sha256(conn).is_some_and(|hash| hash.eq_ignore_ascii_case(&self.token_sha256))
     }
 
     async fn plan(&self, conn: Conn) -> Conn {
-        self.operate(conn, |body| {
+        self.handle_call(conn, |body| {
             serde_json::from_slice::<Change>(body).map(OperatorCall::Plan)
         })
         .await
     }
 
     async fn confirm(&self, conn: Conn) -> Conn {
-        self.operate(conn, |body| {
+        self.handle_call(conn, |body| {
             serde_json::from_slice::<Confirm>(body).map(OperatorCall::Confirm)
         })
         .await
     }
 
-    async fn operate(
+    async fn handle_call(
         &self,
         mut conn: Conn,
         parse: impl Fn(&[u8]) -> serde_json::Result<OperatorCall>,
     ) -> Conn {
-        if !self.is_allowed(&conn) {
+        if !self.is_authorized(&conn) {
             return unauthorized(conn);
         }
-        let body = conn.request_body().with_max_len(MAX_CALL);
+        let body = conn.request_body().with_max_len(MAX_BODY_BYTES);
         let Ok(body) = body.read_bytes().await else {
-            return refuse(conn, Status::BadRequest, "the body can't be read");
+            return respond_with_error(conn, Status::BadRequest, "failed to read the request body");
         };
         let call = match parse(&body) {
             Ok(call) => call,
             Err(error) => {
-                let message = format!("the body can't be read: {error}");
-                return refuse(conn, Status::BadRequest, &message);
+                let message = format!("invalid request body: {error}");
+                return respond_with_error(conn, Status::BadRequest, &message);
             }
         };
         match self.driver.operate(call).await {
             Some(answer) => write_json(conn, &answer),
-            None => refuse(conn, Status::ServiceUnavailable, "the daemon is stopping"),
+            None => respond_with_error(
+                conn,
+                Status::ServiceUnavailable,
+                "the daemon is shutting down",
+            ),
         }
     }
 
     fn status(&self, conn: Conn) -> Conn {
-        if !self.is_allowed(&conn) {
+        if !self.is_authorized(&conn) {
             return unauthorized(conn);
         }
         let status = self.driver.read(fleet_status);
@@ -235,10 +241,10 @@
 
 fn unauthorized(conn: Conn) -> Conn {
     let message = "send the operators' token as `Authorization: Bearer TOKEN`";
-    refuse(conn, Status::Unauthorized, message)
+    respond_with_error(conn, Status::Unauthorized, message)
 }
 
-fn refuse(conn: Conn, status: Status, message: &str) -> Conn {
+fn respond_with_error(conn: Conn, status: Status, message: &str) -> Conn {
     conn.with_status(status)
         .with_body(format!("{message}\n"))
         .halt()
@@ -249,7 +255,7 @@
         Ok(body) => conn
             .with_response_header(KnownHeaderName::ContentType, "application/json")
             .ok(body),
-        Err(error) => refuse(conn, Status::InternalServerError, &error.to_string()),
+        Err(error) => respond_with_error(conn, Status::InternalServerError, &error.to_string()),
     }
 }
 
@@ -261,20 +267,20 @@
     FleetStatus {
         daemon: core.identity().daemon.clone(),
         version,
-        daemons: daemons(now, core),
-        domains: domains(now, core),
-        models: models(now, core),
+        daemons: daemon_statuses(now, core),
+        domains: domain_statuses(now, core),
+        models: model_statuses(now, core),
         shares: shares.map(|(name, c)| (name.clone(), c.share)).collect(),
         draining: config.draining.iter().cloned().collect(),
     }
 }
 
-fn daemons(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
+fn daemon_statuses(now: Timestamp, core: &Daemon) -> Vec<DaemonStatus> {
     let membership = core.membership();
-    let everyone = membership
+    let live_members = membership
         .live_peers(now)
         .chain(std::iter::once(membership.own_heartbeat()));
-    let mut daemons: Vec<DaemonStatus> = everyone
+    let mut daemons: Vec<DaemonStatus> = live_members
         .map(|peer| DaemonStatus {
             daemon: peer.daemon.clone(),
             failure_domain: peer.failure_domain.clone(),
@@ -286,7 +292,7 @@
     daemons
 }
 
-fn models(now: Timestamp, core: &Daemon) -> Vec<ModelStatus> {
+fn model_statuses(now: Timestamp, core: &Daemon) -> Vec<ModelStatus> {
     let Some(fleet) = core.state().fleet() else {
         return Vec::new();
     };
@@ -314,7 +320,7 @@
         .collect()
 }
 
-fn domains(now: Timestamp, core: &Daemon) -> BTreeMap<FailureDomain, DomainStatus> {
+fn domain_statuses(now: Timestamp, core: &Daemon) -> BTreeMap<FailureDomain, DomainStatus> {
     let state = core.state();
     let mut domains: BTreeMap<FailureDomain, DomainStatus> = BTreeMap::new();
     let Some(hosts) = state.hosts() else {
--- a/shalehinge/tests/always_restored.rs
+++ b/shalehinge/tests/always_restored.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing beside a platform that is restored from copies, with the oracle asked after each
-//! step.
+//! Stateful fuzzing with a platform that is restored from backups: a restore loses writes and
+//! reuses their version numbers in a new era. The invariants are checked after each step.
 //!
 //! Seeds are fixed here. `FUZZ_SEEDS=FROM..TO cargo test --test always_restored -- --ignored`
 //! runs others.
@@ -13,43 +13,44 @@
 use support::operations::{Operation, sequence};
 use support::world::World;
 
-/// Sequences run by the normal test command.
-const SEEDS: u64 = 160;
-/// Time in which daemons that live write again what a copy lacks.
-const REWRITTEN_WITHIN: Duration = Duration::from_secs(4);
-/// Kinds of requests from here on carry no key.
-const KINDS_WITH_KEY: u8 = 2;
+/// Number of sequences in a normal test run, over both tests.
+const SEED_COUNT: u64 = 160;
+/// Time within which running daemons rewrite what a restored backup lacks.
+const REWRITE_TIME: Duration = Duration::from_secs(4);
+/// Request kinds from this one on carry no idempotency key.
+const FIRST_KIND_WITHOUT_KEY: u8 = 2;
 
-/// Whether a daemon may be unable to write again what it wrote since the copy.
+/// Whether the operation may prevent a daemon from rewriting what it wrote since the backup.
 fn disturbs_daemons(operation: Operation) -> bool {
     matches!(
         operation,
         Operation::KillDaemon(_)
             | Operation::StopDaemon(_)
             | Operation::FreezeDaemon(_)
-            | Operation::CutDomain(_)
-            | Operation::CutPlatform(_)
+            | Operation::PartitionDomain(_)
+            | Operation::PartitionFromPlatform(_)
             | Operation::PlatformFault(_)
     )
 }
 
-/// The same operation with requests that carry no key.
+/// Replaces a request or a burst by one request without an idempotency key.
 fn without_keys(operation: Operation) -> Operation {
     match operation {
         Operation::Request { daemon, kind, key } => {
-            let kind = kind % 2 + KINDS_WITH_KEY;
+            let kind = kind % 2 + FIRST_KIND_WITHOUT_KEY;
             Operation::Request { daemon, kind, key }
         }
         Operation::Burst { daemon, key, .. } => {
-            let kind = KINDS_WITH_KEY;
+            let kind = FIRST_KIND_WITHOUT_KEY;
             Operation::Request { daemon, kind, key }
         }
         other => other,
     }
 }
 
-/// A world with copies; requests have keys only in one where no daemon is disturbed between a copy
-/// and the time in which what it lacks is written again.
+/// A sequence with backups and restores. Requests carry idempotency keys only if no daemon is
+/// disturbed from a backup until what it lacks has been rewritten, as a claim that is lost
+/// together with its daemon may let the key run again.
 struct Run {
     world: World,
     rng: SmallRng,
@@ -71,7 +72,7 @@
         if self.has_keys {
             if disturbs_daemons(operation) {
                 self.world.heal();
-                self.world.platform.drop_copy();
+                self.world.platform.discard_backup();
             }
             self.world.apply(operation);
         } else {
@@ -80,18 +81,18 @@
         if !self.rng.random_bool(0.2) {
             return;
         }
-        if !self.world.platform.has_copy() {
+        if !self.world.platform.has_backup() {
             if self.has_keys {
                 self.world.heal();
-                self.world.run_for(REWRITTEN_WITHIN);
+                self.world.run_for(REWRITE_TIME);
             }
-            self.world.platform.take_copy();
+            self.world.platform.take_backup();
             return;
         }
         self.restores += 1;
         self.world.restore_platform();
         if self.has_keys {
-            self.world.run_for(REWRITTEN_WITHIN);
+            self.world.run_for(REWRITE_TIME);
         }
     }
 }
@@ -119,24 +120,24 @@
     let results: Vec<_> = seeds.map(run).collect();
     let failures: Vec<&String> = results.iter().filter_map(|r| r.as_ref().err()).collect();
     let restores: usize = results.iter().filter_map(|r| r.as_ref().ok()).sum();
-    println!("{} sequences, {restores} copies", results.len());
+    println!("{} sequences, {restores} restores", results.len());
     assert!(failures.is_empty(), "{failures:#?}");
-    assert!(restores > results.len(), "too little happened: {restores}");
+    assert!(restores > results.len(), "too few restores: {restores}");
 }
 
 #[test]
-fn what_must_hold_holds_beside_copies_in_fixed_sequences() {
-    run_all((0..SEEDS).filter(|seed| seed.is_multiple_of(2)));
+fn invariants_hold_across_restores_in_fixed_sequences() {
+    run_all((0..SEED_COUNT).filter(|seed| seed.is_multiple_of(2)));
 }
 
 #[test]
-fn what_must_hold_holds_beside_copies_while_daemons_fail() {
-    run_all((0..SEEDS).filter(|seed| !seed.is_multiple_of(2)));
+fn invariants_hold_across_restores_while_daemons_fail() {
+    run_all((0..SEED_COUNT).filter(|seed| !seed.is_multiple_of(2)));
 }
 
 #[test]
 #[ignore = "long; run by hand with FUZZ_SEEDS=FROM..TO"]
-fn what_must_hold_holds_beside_copies_in_more_sequences() {
+fn invariants_hold_across_restores_in_more_sequences() {
     let seeds = std::env::var("FUZZ_SEEDS").unwrap_or_else(|_| "1000..1400".into());
     let (from, to) = seeds.split_once("..").expect("FROM..TO");
     let seed = |text: &str| text.parse::<u64>().expect("a seed");
--- a/shalehinge/tests/support/apply.rs
+++ b/shalehinge/tests/support/apply.rs
@@ -1,4 +1,4 @@
-//! Operations as they happen to the world, and the checks after each step.
+//! Applies operations to the world, and checks the invariants after each step.
 
 use std::time::Duration;
 
@@ -19,10 +19,11 @@
 use super::platform::Fault;
 use super::world::{CUSTOMER, MODEL, STEP, World};
 
-/// Keys that callers use, few so that they meet.
-const KEYS: u8 = 6;
+/// Number of idempotency keys that callers use; few, so that requests collide.
+const KEY_COUNT: u8 = 6;
 
 impl World {
+    /// Applies one operation, then advances by one step.
     pub fn apply(&mut self, operation: Operation) {
         let (entry_count, host_count) = (self.entries.len(), self.hosts.len());
         let entry = |number: u8| usize::from(number) % entry_count;
@@ -34,22 +35,22 @@
             Operation::KillDaemon(n) => self.kill(entry(n)),
             Operation::StartDaemon(n) => self.start(entry(n)),
             Operation::FreezeDaemon(n) => self.freeze(entry(n)),
-            Operation::WakeDaemon(n) => self.wake(entry(n)),
+            Operation::UnfreezeDaemon(n) => self.unfreeze(entry(n)),
             Operation::StopDaemon(n) => self.stop(entry(n)),
-            Operation::CutDomain(n) => {
+            Operation::PartitionDomain(n) => {
                 let domain = domain(n);
-                self.cut.insert(domain);
+                self.partitioned_domains.insert(domain);
             }
-            Operation::CutPlatform(n) => {
+            Operation::PartitionFromPlatform(n) => {
                 let domain = domain(n);
-                self.platform_cut.insert(domain);
+                self.platform_partitioned_domains.insert(domain);
             }
-            Operation::HealCuts => {
-                self.cut.clear();
-                self.platform_cut.clear();
+            Operation::HealPartitions => {
+                self.partitioned_domains.clear();
+                self.platform_partitioned_domains.clear();
             }
             Operation::PlatformFault(n) => self.set_fault(n),
-            Operation::PlatformWorks => self.platform.fault = Fault::None,
+            Operation::ClearPlatformFault => self.platform.fault = Fault::None,
             Operation::KillHost(n) => self.kill_host(host(n)),
             Operation::StartHost(n) => {
                 let host = host(n);
@@ -59,7 +60,7 @@
                 let host = host(n);
                 self.hosts[host].is_frozen = self.hosts[host].is_alive;
             }
-            Operation::WakeHost(n) => {
+            Operation::UnfreezeHost(n) => {
                 let host = host(n);
                 self.hosts[host].is_frozen = false;
             }
@@ -69,7 +70,7 @@
                 self.oracle.leaving_at.entry(id).or_insert(now);
                 self.write_host_list();
             }
-            Operation::HostStays(n) => {
+            Operation::CancelHostLeave(n) => {
                 let id = self.hosts[host(n)].id.clone();
                 self.oracle.leaving_at.remove(&id);
                 self.write_host_list();
@@ -93,13 +94,13 @@
                 value,
             } => {
                 let change = self.change(kind, value);
-                self.operate(entry(daemon), OperatorCall::Plan(change), None);
+                self.send_operator_call(entry(daemon), OperatorCall::Plan(change), None);
                 self.run_for(STEP * 8);
             }
             Operation::Confirm { daemon, plan } => {
                 self.confirm(entry(daemon), usize::from(plan));
             }
-            Operation::ConfuseAnswers(n) => self.confuse(entry(n)),
+            Operation::SendStrayCompletions(n) => self.send_stray_completions(entry(n)),
             Operation::Settle => self.run_for(Duration::from_secs(8)),
         }
         self.step();
@@ -110,28 +111,29 @@
             Fault::Down,
             Fault::LoseAnswer,
             Fault::LoseWrite,
-            Fault::LateWrite,
+            Fault::DelayWrite,
         ];
         self.platform.fault = faults[usize::from(number) % faults.len()];
     }
 
     // --- callers ---
 
-    /// A caller's request; kinds 0 and 1 have a key, 2 may not be repeated.
+    /// Sends a caller's request, unless the daemon is not running. Kinds 0 and 1 carry an
+    /// idempotency key, kind 2 has none and is not repeatable, kind 3 is repeatable.
     pub fn request(&mut self, index: usize, kind: u8, key: u8) -> Option<CallerRequest> {
-        if !self.entries[index].runs() {
+        if !self.entries[index].is_running() {
             return None;
         }
         let caller = self.next_request;
         self.next_request += 1;
         let kind = kind % 4;
-        let key = (kind < 2).then(|| KeyHash(u128::from(key % KEYS)));
+        let key = (kind < 2).then(|| KeyHash(u128::from(key % KEY_COUNT)));
         let repeatable = kind == 3;
         let facts = RequestFacts {
             key,
             repeatable,
             executions: 0,
-            whole_answers: 0,
+            complete_answers: 0,
             outcome: None,
         };
         self.oracle.requests.insert(caller, facts);
@@ -157,23 +159,24 @@
             is_resumable: false,
             credential: None,
         };
-        self.give(index, Event::Request { request, meta });
+        self.deliver_event(index, Event::Request { request, meta });
         Some(caller)
     }
 
-    /// Ends of attempts that belong to other requests, or to none.
-    fn confuse(&mut self, index: usize) {
+    /// Sends the daemon completions of attempts for requests that they don't belong to, and of an
+    /// attempt that doesn't exist.
+    fn send_stray_completions(&mut self, index: usize) {
         let entry = &self.entries[index];
         let run = entry.run;
         let requests: Vec<RequestId> = entry.requests.keys().copied().collect();
-        let mut attempts: Vec<AttemptId> = entry.running.keys().copied().collect();
+        let mut attempts: Vec<AttemptId> = entry.open_attempts.keys().copied().collect();
         attempts.push(AttemptId {
             incarnation: Incarnation(7),
             sequence: 1,
         });
         for request in requests {
             for attempt in &attempts {
-                if entry_runs(&self.entries[index].running, *attempt, request) {
+                if is_attempt_of(&self.entries[index].open_attempts, *attempt, request) {
                     continue;
                 }
                 let event = Event::AttemptEnded {
@@ -215,22 +218,28 @@
         }
     }
 
-    pub fn operate(&mut self, index: usize, call: OperatorCall, operation: Option<OperationId>) {
-        if !self.entries[index].runs() {
+    /// Sends an operator call to a daemon; `operation` is the one that a confirm would apply.
+    pub fn send_operator_call(
+        &mut self,
+        index: usize,
+        call: OperatorCall,
+        operation: Option<OperationId>,
+    ) {
+        if !self.entries[index].is_running() {
             return;
         }
         let call_id = OperatorCallId(self.next_operation);
         self.next_operation += 1;
         self.operator_calls.insert((index, call_id), operation);
-        self.give(index, Event::Operator { call_id, call });
+        self.deliver_event(index, Event::Operator { call_id, call });
     }
 
-    /// Confirms a plan that was made before, under an operation of its own.
+    /// Confirms an earlier plan under a new operation ID. Returns `None` if there is no plan.
     pub fn confirm(&mut self, index: usize, plan: usize) -> Option<OperationId> {
         if self.plans.is_empty() {
             return None;
         }
-        // One of the newest three, so that some are in date and some race.
+        // One of the three newest plans, so that some are up to date and some conflict.
         let newest = self.plans.len().min(3);
         let plan = self.plans[self.plans.len() - 1 - plan % newest].clone();
         let operation = OperationId(1_000_000 + self.next_operation);
@@ -240,11 +249,12 @@
             digest: plan.digest,
             operation,
         };
-        self.operate(index, OperatorCall::Confirm(confirm), Some(operation));
+        self.send_operator_call(index, OperatorCall::Confirm(confirm), Some(operation));
         Some(operation)
     }
 
-    pub fn answer_operator(
+    /// Records a daemon's answer to an operator call.
+    pub fn record_operator_answer(
         &mut self,
         index: usize,
         call_id: OperatorCallId,
@@ -263,7 +273,7 @@
                 }
                 OperatorAnswer::Unclear | OperatorAnswer::Planned(_) => {}
             }
-            self.answers.push((operation, answer.clone()));
+            self.operator_answers.push((operation, answer.clone()));
         }
         if let OperatorAnswer::Planned(plan) = answer {
             self.plans.push(*plan);
@@ -272,20 +282,22 @@
 
     // --- checks ---
 
-    pub fn check(&mut self) {
-        let is_disturbed = !self.cut.is_empty()
-            || !self.platform_cut.is_empty()
+    /// Checks all invariants.
+    pub fn check_invariants(&mut self) {
+        let is_disturbed = !self.partitioned_domains.is_empty()
+            || !self.platform_partitioned_domains.is_empty()
             || self.platform.fault != Fault::None
             || self.entries.iter().any(|entry| entry.is_frozen);
         if is_disturbed {
-            self.oracle.calm_since = self.now;
+            self.oracle.undisturbed_since = self.now;
         }
-        if self.platform.fault != Fault::LateWrite && !self.platform.late.is_empty() {
-            self.platform.land_late_writes();
+        if self.platform.fault != Fault::DelayWrite && !self.platform.delayed_writes.is_empty() {
+            self.platform.apply_delayed_writes();
             self.oracle.config_written_at = self.now;
         }
         self.oracle.check_assignments(&self.platform.objects);
-        self.oracle.check_operations(&self.platform.operations);
+        self.oracle
+            .check_operations(&self.platform.applied_operations);
         self.check_configs();
         self.check_leases();
     }
@@ -304,7 +316,8 @@
         }
     }
 
-    /// At most one daemon holds a domain, by their own clocks, frozen ones too.
+    /// Checks that at most one daemon holds the lease of a failure domain according to its own
+    /// clock, including frozen daemons.
     fn check_leases(&mut self) {
         for domain in &self.domains {
             let holders: Vec<&str> = self
@@ -319,13 +332,14 @@
                 .map(|entry| entry.name.as_str())
                 .collect();
             if holders.len() > 1 {
-                let text = format!("{domain} is held by {holders:?}");
-                self.oracle.violation(text);
+                let text = format!("the lease of {domain} is held by {holders:?}");
+                self.oracle.report_violation(text);
             }
         }
     }
 
-    /// The platform is restored from its copy; whoever writes the host list writes it again.
+    /// Restores the platform from its backup, if there is one. Pending watches fail, and the host
+    /// list is rewritten, as the platform's list maintainer would do.
     pub fn restore_platform(&mut self) {
         if !self.platform.restore() {
             return;
@@ -337,14 +351,14 @@
             self.send_to_entry(STEP, watch.entry, watch.run, event);
         }
         self.write_host_list();
-        self.oracle.calm_since = self.now;
+        self.oracle.undisturbed_since = self.now;
         self.oracle.config_written_at = self.now;
     }
 
-    /// Everything heals; whoever is down starts again.
+    /// Removes all faults and restarts all hosts and daemons.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.platform_cut.clear();
+        self.partitioned_domains.clear();
+        self.platform_partitioned_domains.clear();
         self.platform.fault = Fault::None;
         self.oracle.leaving_at.clear();
         self.write_host_list();
@@ -353,7 +367,7 @@
             host.is_frozen = false;
         }
         for index in 0..self.entries.len() {
-            self.wake(index);
+            self.unfreeze(index);
             self.start(index);
         }
     }
@@ -369,7 +383,7 @@
     }
 }
 
-fn entry_runs(
+fn is_attempt_of(
     running: &std::collections::BTreeMap<AttemptId, RequestId>,
     attempt: AttemptId,
     request: RequestId,
