--- a/standin/benches/decisions.rs
+++ b/standin/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! Time and memory of one routing decision and of one placement plan.
+//! Benchmarks of the time and memory of one routing decision and of one placement plan.
 //!
-//! `cargo bench -p standin`
+//! Run with `cargo bench -p standin`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,8 @@
     }
 }
 
-/// A router that has seen all its candidates complete and half full.
+/// Returns a router that has reports of all its candidates: complete groups with half of their
+/// slots in use.
 fn ready_router(replicas: usize, rng: &mut SmallRng) -> Router {
     let spec = spec(replicas);
     let mut router = router_of(0, &spec, &fleet_state(spec.domains, replicas));
@@ -74,7 +75,7 @@
     router
 }
 
-/// A request from its submission to its end: one choice among the candidates.
+/// Routes a request from its submission to its completion, with one choice among the candidates.
 #[divan::bench(args = [50, 200, 830])]
 fn routing_decision(bencher: Bencher, replicas: usize) {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -106,7 +107,7 @@
             RouterAction::Send(attempt) => Some(attempt.id),
             _ => None,
         });
-        let attempt = sent.expect("there is room");
+        let attempt = sent.expect("a candidate has free capacity");
         let end = AttemptEnd::Completed { output_tokens: 100 };
         router.on_ended(now, request, attempt, end, &mut rng, &mut out);
     });
@@ -134,7 +135,7 @@
     }
 }
 
-/// All groups of a failure domain, from nothing.
+/// Plans all groups of a failure domain that has none yet.
 #[divan::bench(args = [100, 1_000, 3_300])]
 fn plan_from_nothing(bencher: Bencher, hosts: usize) {
     let (domain, fleet, list) = domain_objects(&day(hosts));
@@ -157,7 +158,8 @@
     });
 }
 
-/// One look at a failure domain in which all is as wanted, as the lease holder does it.
+/// Plans a failure domain that already matches its configuration, as the lease holder does
+/// periodically.
 #[divan::bench(args = [100, 1_000, 3_300])]
 fn plan_with_nothing_to_do(bencher: Bencher, hosts: usize) {
     let (domain, fleet, list) = domain_objects(&day(hosts));
--- a/standin/src/bin/standin.rs
+++ b/standin/src/bin/standin.rs
@@ -1,5 +1,4 @@
-//! Stand-ins of platform, engines and plain services, with a load and
-//! experiment tool.
+//! Command-line tool that runs the stand-in servers, the load generator and the experiments.
 
 use argh::FromArgs;
 use miette::Result;
@@ -12,7 +11,7 @@
 use standin::service::ServiceArguments;
 use standin::{engine, load, platform, service};
 
-/// Stand-ins for what shalehinge meets outside, and tools to measure it.
+/// Stand-ins for the external systems that shalehinge talks to, and tools to measure shalehinge.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/standin/src/engine/faults.rs
+++ b/standin/src/engine/faults.rs
@@ -1,36 +1,37 @@
-//! Wrong and unusual answers of a stand-in engine, on request.
+//! Faults and upstream signals that can be injected into a stand-in engine.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine does wrong at present.
+/// Fault or upstream signal that an engine currently shows; set with `PUT /admin/fault`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineFault {
-    /// Nothing.
+    /// Answers normally.
     #[default]
     None,
-    /// Answers with bytes that mean nothing.
+    /// Answers with status 200 and a body that is not valid JSON.
     Garbage,
-    /// Answers under another attempt's id.
+    /// Answers with the attempt ID of another attempt.
     OtherAttempt,
-    /// Ends streams without their end mark.
+    /// Ends streams without the `[DONE]` event.
     CutStream,
-    /// Sends more after the end of the answer.
+    /// Sends another event after `[DONE]`.
     SendMore,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     Silent,
-    /// Answers every request with an error.
+    /// Answers every request with status 500.
     Failing,
-    /// Answers well, and names in each answer how many requests it takes from all daemons.
+    /// Answers normally, with a header that states the request rate it accepts from all daemons
+    /// together.
     NamesLimit {
-        /// Tenths of a request a second.
+        /// Rate limit, in tenths of a request per second.
         tenths_a_second: u32,
     },
-    /// Runs nothing, and asks in each answer for a cooldown.
+    /// Rejects every request as not run, with a `Retry-After` header.
     AsksForCooldown {
-        /// Tenths of a second.
+        /// Requested cooldown, in tenths of a second.
         tenths: u32,
     },
-    /// Answers well, and says in each answer that it is leaving.
+    /// Answers normally, with a header that announces that it is leaving.
     SaysLeaving,
 }
--- a/standin/src/engine/mod.rs
+++ b/standin/src/engine/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in of the model engines.
+//! Stand-in for the model engines.
 //!
-//! - `model`: batch, prefill, decode, KV memory and prefix cache of a replica
-//! - `state`: groups, orders and fences of one host
-//! - `server`: the engine's API over HTTP
-//! - `faults`: wrong answers on request
+//! - `model`: continuous batch, prefill, decode, KV cache and prefix cache of a replica
+//! - `state`: group membership, orders and fencing of one host
+//! - `server`: the engine's HTTP API
+//! - `faults`: injectable faults
 
 pub mod faults;
 pub mod model;
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -1,10 +1,10 @@
-//! The model of a replica's engine: what a continuous batch does, step by step.
+//! Performance model of a replica's engine: simulates continuous batching step by step.
 //!
-//! Each step lets every running sequence compute one token, or a piece of its
-//! prompt. The time of a step grows with the sequences and with the prompt
-//! tokens in it. KV memory is taken as sequences grow; when it is full, the
-//! youngest sequence is put back and computed anew. Used by the stand-in engine
-//! in real time and by the experiments in their own time.
+//! In each step, every running sequence either decodes one token or prefills a chunk of its
+//! prompt. The duration of a step grows with the number of sequences and of prompt tokens in
+//! it. KV cache usage grows with the sequences; when the KV cache is full, the sequence admitted
+//! last is preempted and recomputed later. The stand-in engine runs the model in real time, the
+//! experiments in simulated time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use shalehinge::core::router::prefix::BLOCK_TOKENS;
 use shalehinge::core::router::request::PrefixChain;
 
-/// How fast and large an engine is.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineParameters {
-    /// Sequences in a batch.
+    /// Maximum number of sequences in a batch.
     pub slots: u32,
-    /// KV memory in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_total: u64,
-    /// Prompt tokens in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u32,
-    /// Time of a step with nothing in it.
+    /// Duration of a step with an empty batch.
     pub step_base: Duration,
     /// Time that each sequence adds to a step.
     pub step_per_sequence: Duration,
     /// Time that each prompt token adds to a step.
     pub step_per_prompt_token: Duration,
-    /// Blocks of prompts that the cache holds.
+    /// Capacity of the prefix cache, in blocks of `BLOCK_TOKENS` tokens.
     pub cache_blocks: usize,
-    /// All times are longer by this factor.
+    /// Factor by which the duration of every step is multiplied.
     pub slowness: f64,
 }
 
@@ -52,15 +52,15 @@
 /// A request to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SequenceSpec {
-    /// Name of the sequence.
+    /// Identifier of the sequence, unique within the engine.
     pub id: u64,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
-    /// Start of the prompt, hashed.
+    /// Hashes of the leading blocks of the prompt, for the prefix cache.
     pub prefix: PrefixChain,
-    /// Higher goes first.
+    /// Waiting sequences with a higher priority are admitted first.
     pub priority: u8,
 }
 
@@ -72,50 +72,50 @@
 }
 
 impl Sequence {
-    /// KV memory that it takes now.
+    /// KV cache that the sequence currently uses, in tokens.
     fn kv(&self) -> u64 {
         let all = u64::from(self.spec.prompt_tokens) + u64::from(self.generated);
         all.saturating_sub(u64::from(self.prompt_left))
     }
 }
 
-/// A token that a step gave.
+/// A token that a step generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Which sequence.
+    /// Identifier of the sequence.
     pub id: u64,
-    /// Its number, from 1.
+    /// Position in the output, starting from 1.
     pub number: u32,
-    /// Whether it is the last.
+    /// Whether it is the last token of the sequence.
     pub is_last: bool,
 }
 
 /// One step of the batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// How long it takes.
+    /// Duration of the step.
     pub duration: Duration,
-    /// Tokens at its end.
+    /// Tokens generated, available at the end of the step.
     pub tokens: Vec<Token>,
 }
 
-/// The engine of one replica.
+/// Model of the engine of one replica.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     parameters: EngineParameters,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
     cache: PrefixCache,
-    /// Prompt blocks that were found in the cache.
+    /// Total number of prompt blocks found in the prefix cache.
     pub hit_blocks: u64,
-    /// Prompt blocks looked up.
+    /// Total number of prompt blocks looked up in the prefix cache.
     pub asked_blocks: u64,
-    /// Sequences put back as KV memory was full.
+    /// Total number of sequences preempted because the KV cache was full.
     pub preemptions: u64,
 }
 
 impl EngineModel {
-    /// An idle engine with an empty cache.
+    /// Returns an idle engine with an empty prefix cache.
     pub fn new(parameters: EngineParameters) -> Self {
         Self {
             cache: PrefixCache::new(parameters.cache_blocks),
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Makes all times longer or shorter from now on.
+    /// Sets the factor by which the duration of every further step is multiplied.
     pub fn set_slowness(&mut self, slowness: f64) {
         self.parameters.slowness = slowness;
     }
 
-    /// Takes in a sequence.
+    /// Queues a sequence behind those of the same or a higher priority.
     pub fn submit(&mut self, spec: SequenceSpec) {
         let sequence = Sequence {
             prompt_left: spec.prompt_tokens,
@@ -148,13 +148,14 @@
         self.waiting.insert(place, sequence);
     }
 
-    /// Breaks off a sequence.
+    /// Cancels a sequence, whether it is waiting or running.
     pub fn cancel(&mut self, id: u64) {
         self.running.retain(|sequence| sequence.spec.id != id);
         self.waiting.retain(|sequence| sequence.spec.id != id);
     }
 
-    /// Breaks off all sequences and forgets the cache; says which there were.
+    /// Cancels all sequences and clears the prefix cache. Returns the identifiers of the
+    /// cancelled sequences.
     pub fn reset(&mut self) -> Vec<u64> {
         self.cache = PrefixCache::new(self.parameters.cache_blocks);
         let running = self.running.drain(..);
@@ -162,12 +163,12 @@
         all.map(|sequence| sequence.spec.id).collect()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether no sequence is running or waiting.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// Load as the engine reports it.
+    /// Returns the current load as the engine reports it.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.len() as u32,
@@ -183,7 +184,7 @@
         self.running.iter().map(Sequence::kv).sum()
     }
 
-    /// Does one step; `None` if there is nothing to do.
+    /// Runs one step. Returns `None` if no sequence is running or waiting.
     pub fn step(&mut self) -> Option<Step> {
         self.admit();
         if self.running.is_empty() {
@@ -205,7 +206,8 @@
         })
     }
 
-    /// Takes waiting sequences in while a slot and memory for their prompt are free.
+    /// Admits waiting sequences while there is a free slot, and KV cache for the prompts and the
+    /// outputs so far. An empty batch admits a sequence of any size.
     fn admit(&mut self) {
         while self.running.len() < self.parameters.slots as usize {
             let Some(next) = self.waiting.front() else {
@@ -229,6 +231,7 @@
         }
     }
 
+    /// Skips the prefill of the prompt blocks that are cached, and caches the others.
     fn use_cache(&mut self, sequence: &mut Sequence) {
         let chain = &sequence.spec.prefix;
         let held = self.cache.matching_blocks(chain);
@@ -239,7 +242,7 @@
         self.cache.insert(chain);
     }
 
-    /// Computes pieces of prompts, oldest first; says how many tokens.
+    /// Prefills chunks of prompts in the order of admission. Returns the number of prompt tokens.
     fn prefill(&mut self) -> u32 {
         let mut left = self.parameters.prefill_chunk;
         for sequence in &mut self.running {
@@ -250,7 +253,7 @@
         self.parameters.prefill_chunk - left
     }
 
-    /// One token for each sequence whose prompt is done.
+    /// Generates one token for each sequence whose prefill is complete.
     fn decode(&mut self) -> Vec<Token> {
         let mut tokens = Vec::new();
         for sequence in &mut self.running {
@@ -267,7 +270,7 @@
         tokens
     }
 
-    /// Puts back the youngest sequences while KV memory is over its bound.
+    /// Preempts the sequences admitted last while KV cache usage exceeds its capacity.
     fn make_room(&mut self) {
         while self.kv_used() > self.parameters.kv_total && self.running.len() > 1 {
             let Some(mut youngest) = self.running.pop() else {
@@ -280,12 +283,15 @@
     }
 }
 
-/// Blocks of prompts, the least recently used dropped first.
+/// Hashes of prompt blocks, evicted in least recently used order.
 #[derive(Clone, Debug)]
 struct PrefixCache {
     capacity: usize,
+    /// Logical time: number of insertions.
     clock: u64,
+    /// Time of last use by block hash.
     used_at: HashMap<u64, u64>,
+    /// Block hash by time of last use.
     by_use: BTreeMap<u64, u64>,
 }
 
@@ -299,6 +305,7 @@
         }
     }
 
+    /// Returns the number of leading blocks of the chain that are cached.
     fn matching_blocks(&self, chain: &PrefixChain) -> usize {
         chain
             .iter()
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -1,6 +1,6 @@
-//! The stand-in engine's API over HTTP. See docs/INTERFACES.md.
+//! HTTP API of the stand-in engine. See docs/INTERFACES.md.
 //!
-//! One process runs one host or several, each with its own listener.
+//! One process runs one or more hosts, each with its own listener.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,67 +32,71 @@
 use super::state::{Followup, HostEngine};
 use crate::server::{announce, read_json, serve, write_json};
 
-/// Time between two looks of rank 0 at the other members.
+/// Interval at which rank 0 checks the status of the other members.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time that another member has to answer.
+/// Timeout of a status request to another member.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Tokens that wait for a slow reader before its sequence is broken off.
+/// Maximum number of tokens buffered for a slow reader; beyond it, the sequence is cancelled.
 const TOKENS_WAITING: usize = 4_096;
 
-/// run stand-in engines, one a host
+/// run stand-in engines, one per host
 #[derive(FromArgs, Debug, Clone)]
 #[argh(subcommand, name = "engine")]
 pub struct EngineArguments {
-    /// name of the host; with --count, followed by a number
+    /// name of the host; with --count above 1, each name is followed by a number
     #[argh(option)]
     pub host: String,
 
-    /// address to listen on; with --count, the system chooses the ports
+    /// address to listen on; with --count above 1, the operating system chooses the ports
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     pub listen: SocketAddr,
 
-    /// failure domain
+    /// failure domain of the hosts
     #[argh(option)]
     pub failure_domain: String,
 
-    /// fabric domain
+    /// fabric domain of the hosts
     #[argh(option)]
     pub fabric_domain: String,
 
-    /// accelerators of the host
+    /// number of accelerators per host
     #[argh(option, default = "8")]
     pub accelerators: u32,
 
-    /// address of the platform, to be listed there
+    /// address of the platform to register the hosts with
     #[argh(option)]
     pub platform: SocketAddr,
 
-    /// hosts in this process
+    /// number of hosts to run in this process
     #[argh(option, default = "1")]
     pub count: u32,
 
-    /// milliseconds that a load from the weight store takes
+    /// time to load weights from the weight store, in milliseconds
     #[argh(option, default = "500")]
     pub load_ms: u64,
 
-    /// take orders whatever their epoch
+    /// accept orders whatever their epoch
     #[argh(switch)]
     pub ignore_fences: bool,
 
-    /// sequences in a batch
+    /// maximum number of sequences in a batch
     #[argh(option, default = "32")]
     pub slots: u32,
 
-    /// milliseconds of an empty step
+    /// duration of a step with an empty batch, in milliseconds
     #[argh(option, default = "18")]
     pub step_ms: u64,
 
-    /// microseconds that each sequence adds to a step
+    /// time that each sequence adds to a step, in microseconds
     #[argh(option, default = "400")]
     pub sequence_us: u64,
 }
 
-/// Runs until the process is ended.
+/// Runs the engines until the process is terminated.
+///
+/// # Errors
+///
+/// Fails as [`spawn`] does.
 pub fn run(arguments: &EngineArguments) -> miette::Result<()> {
     let engines = spawn(arguments)?;
     for engine in &engines {
@@ -108,13 +112,17 @@
 pub struct RunningEngine {
     /// Name of its host.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Ends it.
+    /// Handle that stops its server.
     pub handle: ServerHandle,
 }
 
-/// Starts the engines in this process and has the platform list them.
+/// Starts the engines in this process and registers their hosts with the platform.
+///
+/// # Errors
+///
+/// Fails if an address can't be bound, or if the platform doesn't register a host within 5 s.
 pub fn spawn(arguments: &EngineArguments) -> miette::Result<Vec<RunningEngine>> {
     let mut engines = Vec::new();
     for index in 0..arguments.count {
@@ -139,7 +147,7 @@
     Ok(engines)
 }
 
-/// Has the platform list the host.
+/// Registers the host with the platform.
 async fn register(
     name: &str,
     address: SocketAddr,
@@ -164,23 +172,26 @@
         .with_body(body);
     match exchange(conn, Duration::from_secs(5)).await {
         Some((204, _)) => Ok(()),
-        _ => Err(miette::miette!("the platform did not list host {name}")),
+        _ => Err(miette::miette!("the platform did not register host {name}")),
     }
 }
 
-/// The engine of one host.
+/// Engine of one host.
 #[derive(Clone)]
 struct Engine {
     state: Arc<Mutex<HostEngine>>,
+    /// Token channels of the responses in progress, by sequence identifier.
     streams: Arc<Mutex<HashMap<u64, Sender<Token>>>>,
+    /// Wakes the decode loop when a sequence is submitted to an idle batch.
     work: (Sender<()>, Receiver<()>),
     next_id: Arc<std::sync::atomic::AtomicU64>,
+    /// Time to load weights from the weight store.
     load_time: Duration,
     started: Instant,
     client: Client,
 }
 
-/// The fields of a request that the stand-in needs.
+/// Fields of a chat completion request that the stand-in uses.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     #[serde(default)]
@@ -245,6 +256,7 @@
             })
     }
 
+    /// Time since the engine started, by the monotonic clock.
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -292,13 +304,15 @@
         write_json(conn, Status::Ok, &reply)
     }
 
-    /// Streams whose sequences were broken off end without their end mark.
+    /// Closes all token channels if the batch is idle, so that the responses to cancelled
+    /// sequences end without the `[DONE]` event.
     fn drop_broken_streams(&self) {
         if lock(&self.state).model.is_idle() {
             lock(&self.streams).clear();
         }
     }
 
+    /// At rank 0, checks the other members of the group periodically.
     async fn check_loop(self) {
         loop {
             Timer::after(CHECK_INTERVAL).await;
@@ -320,7 +334,7 @@
         }
     }
 
-    /// Steps the batch in real time.
+    /// Runs the steps of the batch in real time, and sends each token to its response.
     async fn decode_loop(self) {
         loop {
             let step = lock(&self.state).model.step();
@@ -400,7 +414,7 @@
         whole_answer(conn, id, tokens).await
     }
 
-    /// Begins a sequence, if the group is complete and the right one.
+    /// Submits a sequence, or returns `None` if the group is incomplete or not the requested one.
     fn begin(
         &self,
         group: Option<GroupNumber>,
@@ -428,6 +442,7 @@
     }
 }
 
+/// Requests the status of another member and returns whether it is ready in this group.
 async fn is_ready(conn: trillium_client::Conn, group: GroupNumber) -> bool {
     let Some((200, body)) = exchange(conn, CHECK_TIMEOUT).await else {
         return false;
@@ -439,7 +454,7 @@
     })
 }
 
-/// An answer to a request that was not run.
+/// Answers a request that was not run.
 fn refuse(conn: Conn, attempt: String) -> Conn {
     conn.with_status(Status::ServiceUnavailable)
         .with_response_header(ATTEMPT_HEADER, attempt)
@@ -447,6 +462,7 @@
         .halt()
 }
 
+/// Answers with the complete output once its last token is generated.
 async fn whole_answer(conn: Conn, id: u64, tokens: Receiver<Token>) -> Conn {
     let mut text = String::new();
     let mut count = 0;
@@ -457,7 +473,8 @@
         is_whole = token.is_last;
     }
     if !is_whole {
-        // The replica died: no answer that could be taken for one.
+        // The sequence was cancelled: an error, so that the partial output isn't mistaken for a
+        // complete answer.
         return conn.with_status(Status::InternalServerError).halt();
     }
     let answer = json!({
@@ -473,9 +490,9 @@
     write_json(conn, Status::Ok, &answer)
 }
 
-/// Keeps a connection open without an answer. The timer guards against a task that nothing can
-/// wake: the runtime drops such a one at times, which closes its connection (26 of 1,200 that
-/// were held without it).
+/// Keeps a connection open without answering. The timer wakes the task periodically: the runtime
+/// sometimes drops a task that nothing can wake, which closes its connection (26 of 1,200
+/// connections held without the timer).
 async fn say_nothing() {
     const LOOK_INTERVAL: Duration = Duration::from_secs(1);
     loop {
@@ -483,6 +500,7 @@
     }
 }
 
+/// Answers with a stream of server-sent events, one per token.
 fn stream_answer(conn: Conn, id: u64, tokens: Receiver<Token>, fault: EngineFault) -> Conn {
     let events = stream::unfold(Some(tokens), move |tokens| async move {
         let tokens = tokens?;
@@ -504,7 +522,7 @@
         .ok(body)
 }
 
-/// One token as an event, with the time at which it was given out.
+/// Formats a token as a server-sent event, with the wall-clock time at which it was emitted.
 fn token_event(id: u64, token: Token) -> String {
     let event = json!({
         "id": format!("chatcmpl-{id}"),
--- a/standin/src/engine/state.rs
+++ b/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! Groups, orders and fences of one stand-in host.
+//! Group membership, orders and fencing of one stand-in host.
 
 use std::time::Duration;
 
@@ -10,58 +10,62 @@
 use super::faults::EngineFault;
 use super::model::{EngineModel, EngineParameters};
 
-/// What a host remembers.
+/// State of the engine on one host.
 #[derive(Debug)]
 pub struct HostEngine {
-    /// Its name.
+    /// Identifier of the host.
     pub host: HostId,
-    /// Whether it refuses orders older than the last.
+    /// Whether orders whose fence is lower than that of the last accepted order are refused.
     pub checks_fences: bool,
-    /// What it does wrong.
+    /// Injected fault.
     pub fault: EngineFault,
-    /// The batch; used at rank 0.
+    /// Batch of the replica; used at rank 0 only.
     pub model: EngineModel,
-    /// What it is doing.
+    /// Phase that the engine reports.
     pub phase: EnginePhase,
-    /// Its place in a group.
+    /// Membership in a group, if the host is in one.
     pub membership: Option<GroupMembership>,
-    /// Other members seen ready, rank 0 only.
+    /// Number of members found ready by the last check, with rank 0 itself; maintained at rank 0
+    /// only, and left at 0 in a group of one host.
     pub members_present: u32,
-    /// When rank 0 last looked at the others, by the host's monotonic clock.
+    /// When rank 0 last checked the other members, by the host's monotonic clock.
     looked_at: Duration,
-    /// A member was lost since the group was complete: it can't serve any more.
+    /// Whether a member was lost after the group was complete; the group can't serve any more.
     pub is_broken: bool,
+    /// Weights in memory.
     held: Option<HeldModel>,
+    /// Fence of the last accepted order.
     fence: Fence,
-    /// Counts the loads begun, so that an outdated one can tell.
+    /// Number of loads started; identifies the current load, so that the completion of an
+    /// earlier one is ignored.
     pub load_number: u64,
 }
 
-/// Place in a group.
+/// Membership in a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMembership {
     /// Number of the group.
     pub group: GroupNumber,
-    /// What was ordered.
+    /// Load command that made the host a member.
     pub load: LoadCommand,
 }
 
-/// What must follow an order.
+/// Work that the caller must start after an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Followup {
     /// Nothing.
     None,
-    /// Weights must be loaded; warm if they are in memory.
+    /// Load the weights, then call [`HostEngine::finish_load`].
     Load {
-        /// Which load this is.
+        /// Number of the load, to be passed to [`HostEngine::finish_load`].
         number: u64,
-        /// Whether the weights are in memory.
+        /// Whether the weights are already in memory.
         warm: bool,
     },
 }
 
 impl HostEngine {
-    /// An idle host.
+    /// Returns an idle host without weights. `parameters` are those of the engine at rank 0.
     pub fn new(host: HostId, checks_fences: bool, parameters: EngineParameters) -> Self {
         Self {
             host,
@@ -79,7 +83,8 @@
         }
     }
 
-    /// Takes an order, or refuses it as too old.
+    /// Executes an order, or refuses it if fences are checked and its fence is too low. `now` is
+    /// the time on the host's monotonic clock.
     pub fn take_order(&mut self, now: Duration, order: Order) -> (OrderReply, Followup) {
         let fence = order.fence();
         if self.checks_fences && fence < self.fence {
@@ -92,7 +97,7 @@
                 self.release(order.group, drain);
                 Followup::None
             }
-            // These engines gather their members and open by themselves.
+            // Stand-in engines find their members and start to serve without these commands.
             Command::Open | Command::Stage { .. } => Followup::None,
         };
         (self.reply(now, true), followup)
@@ -138,7 +143,7 @@
         self.leave();
     }
 
-    /// Leaves the group; what ran is broken off.
+    /// Leaves the group and cancels all sequences.
     pub fn leave(&mut self) {
         self.membership = None;
         self.phase = EnginePhase::Idle;
@@ -147,21 +152,22 @@
         self.model.reset();
     }
 
-    /// Weights are loaded; an outdated load changes nothing.
+    /// Marks the weights as loaded, unless another load has started since the one with this
+    /// number.
     pub fn finish_load(&mut self, number: u64) {
         if self.load_number == number && self.phase == EnginePhase::Loading {
             self.phase = EnginePhase::Ready;
         }
     }
 
-    /// A draining engine that is idle leaves its group.
+    /// Leaves the group if the engine is draining and idle.
     pub fn finish_drain(&mut self) {
         if self.phase == EnginePhase::Draining && self.model.is_idle() {
             self.leave();
         }
     }
 
-    /// Other members, if this is rank 0.
+    /// Returns the group and the addresses of its other members, if this host is rank 0.
     pub fn others(&self) -> Option<(GroupNumber, Vec<Address>)> {
         let membership = self.membership.as_ref()?;
         if membership.load.rank != 0 {
@@ -171,7 +177,8 @@
         Some((membership.group, others))
     }
 
-    /// Rank 0 saw so many of the others ready. Returns whether it lost one.
+    /// Records that a check by rank 0 found `ready` of the `count` other members ready. Returns
+    /// whether a member of a complete group was lost; all sequences are then cancelled.
     pub fn see_others(
         &mut self,
         now: Duration,
@@ -193,7 +200,7 @@
         was_complete && ready < count
     }
 
-    /// Whether a request for this group can run here now.
+    /// Whether a request for this group, or for any group if `None`, can run on this host now.
     pub fn can_serve(&self, now: Duration, group: Option<GroupNumber>) -> bool {
         let status = self.status(now);
         let Some(own) = status.group else {
@@ -202,7 +209,7 @@
         group.is_none_or(|group| group == own) && status.shows_complete(own)
     }
 
-    /// The status as it is told.
+    /// Returns the status that the host reports.
     pub fn status(&self, now: Duration) -> EngineStatus {
         let membership = self.membership.as_ref();
         let is_rank_zero = membership.is_some_and(|m| m.load.rank == 0);
--- a/standin/src/experiment/day.rs
+++ b/standin/src/experiment/day.rs
@@ -1,8 +1,8 @@
-//! A day of host failures in one failure domain.
+//! Simulation of a day of host failures in one failure domain.
 //!
-//! The planner is the daemons' own. Loads share the rate of the weight store; a
-//! lost member is noticed and its group released after a second or two; hosts
-//! come back after hours.
+//! The planner is the one that the daemons use. Loads share the bandwidth of the weight store;
+//! the loss of a member is detected, and its group dissolved, after 2 s; failed hosts return
+//! after hours.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,83 +22,96 @@
     Customer, FabricDomain, FailureDomain, GroupNumber, HostId, ModelName, ModelVersion,
 };
 
-/// Seconds from a loss until its group is dissolved and released.
+/// Time from the loss of a host until its group is dissolved and released, in seconds.
 const NOTICE_SECONDS: f64 = 2.0;
-/// Seconds that the weight store takes for one host.
+/// Time that the weight store takes to load one host, in seconds.
 const STORE_SECONDS_PER_HOST: f64 = 4.0;
-/// Seconds after the last load until a replica serves.
+/// Time from the last load of a group until its replica serves, in seconds.
 const START_SECONDS: f64 = 30.0;
-/// Seconds in a day.
+/// Duration of the simulation, in seconds.
 const DAY: f64 = 86_400.0;
-/// Hours until a failed host is back, from and to.
+/// Time until a failed host returns in hours, as a half-open range.
 const REPAIR_HOURS: (f64, f64) = (2.0, 12.0);
-/// Accelerators of a host.
+/// Number of accelerators per host.
 const ACCELERATORS: u32 = 8;
 
-/// Replicas of one size.
+/// A model to place.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelSpec {
     /// Name of the model.
     pub name: &'static str,
-    /// Hosts of one replica.
+    /// Number of hosts per replica.
     pub hosts: u32,
-    /// Replicas wanted.
+    /// Number of replicas to run.
     pub replicas: u32,
 }
 
-/// A failure domain and its day.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct DaySpec {
-    /// Hosts of each fabric domain.
+    /// Number of hosts in each fabric domain.
     pub fabrics: Vec<usize>,
-    /// What is wanted.
+    /// Models to place.
     pub models: Vec<ModelSpec>,
-    /// Weights of the fleet.
+    /// Placement weights of the fleet.
     pub weights: PlacementWeights,
-    /// How hosts are chosen.
+    /// Policy by which the planner chooses hosts.
     pub choice: HostChoice,
-    /// Failures of a host a day.
+    /// Mean number of failures per host and day.
     pub failures: f64,
 }
 
-/// What the day came to.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DayResult {
-    /// Hours in which a wanted replica did not serve, summed over replicas.
+    /// Time during which configured replicas didn't serve, in replica hours.
     pub downtime_hours: f64,
-    /// Hours of idle accelerators around which no group could form.
+    /// Time during which accelerators were idle and no group could form on them, in accelerator
+    /// hours.
     pub stranded_hours: f64,
-    /// Downtime that no placement could avoid: too few hosts in the fabric domains.
+    /// Lower bound on the downtime under any placement, given the live hosts of the fabric
+    /// domains, in replica hours.
     pub bound_hours: f64,
-    /// Host loads from the weight store.
+    /// Number of host loads from the weight store.
     pub loads: u32,
 }
 
+/// Event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
 enum Happening {
+    /// A host fails.
     Fails(HostId),
+    /// A failed host returns.
     Returns(HostId),
+    /// The loss of a member of a group is detected.
     Noticed(GroupNumber),
+    /// A group has loaded and starts to serve.
     Ready(GroupNumber),
 }
 
+/// State of a simulation. Times are in seconds since its start.
 struct Day<'a> {
     spec: &'a DaySpec,
     domain: FailureDomain,
     fleet: FleetConfig,
+    /// All hosts, including failed ones.
     hosts: HostList,
     assignment: Assignment,
+    /// Hosts that have failed and not returned yet.
     down: BTreeSet<HostId>,
+    /// Groups whose loss was detected and that aren't dissolved yet.
     lost: BTreeMap<GroupNumber, Option<HostId>>,
     held: HeldWeights,
+    /// Pending events with their times, in no order.
     agenda: Vec<(f64, Happening)>,
+    /// When the weight store has finished all loads started so far.
     store_free_at: f64,
     now: f64,
     result: DayResult,
     rng: SmallRng,
 }
 
-/// Runs the day of a seed. It starts with everything formed.
+/// Simulates a day with this seed. All groups serve at its start.
 pub fn run(spec: &DaySpec, seed: u64) -> DayResult {
     let mut day = Day::new(spec, seed);
     day.form_everything();
@@ -115,7 +128,7 @@
     day.result
 }
 
-/// Configuration and hosts of such a domain, for benchmarks as well.
+/// Returns the name, the configuration and the hosts of the failure domain of a simulation.
 pub fn domain_objects(spec: &DaySpec) -> (FailureDomain, FleetConfig, HostList) {
     let domain = FailureDomain::new("domain");
     let mut hosts = HostList::default();
@@ -183,6 +196,7 @@
         }
     }
 
+    /// Forms all groups before the start of the day, at no cost.
     fn form_everything(&mut self) {
         self.replan();
         self.agenda.clear();
@@ -193,6 +207,7 @@
         self.result = DayResult::default();
     }
 
+    /// Schedules the failures and returns of all hosts.
     fn plan_failures(&mut self) {
         let names: Vec<HostId> = self.hosts.hosts.keys().cloned().collect();
         for host in names {
@@ -209,6 +224,7 @@
         }
     }
 
+    /// Removes and returns the earliest event.
     fn next(&mut self) -> Option<(f64, Happening)> {
         let (index, _) = self
             .agenda
@@ -218,7 +234,7 @@
         Some(self.agenda.swap_remove(index))
     }
 
-    /// Adds up what the time until `at` costs.
+    /// Advances the time to `at` and adds the costs of the time in between to the result.
     fn pass(&mut self, at: f64) {
         let hours = (at - self.now).max(0.0) / 3_600.0;
         self.now = at;
@@ -236,7 +252,7 @@
         self.result.stranded_hours += hours * f64::from(stranded);
     }
 
-    /// The host list without the hosts that are down.
+    /// Returns the host list without the failed hosts.
     fn live_hosts(&self) -> HostList {
         let mut live = self.hosts.clone();
         live.hosts.retain(|host, _| !self.down.contains(host));
@@ -247,6 +263,7 @@
         self.spec.models.iter().map(|model| model.replicas).sum()
     }
 
+    /// Number of configured replicas that don't serve.
     fn missing(&self) -> u32 {
         let serving = self
             .assignment
@@ -260,8 +277,9 @@
         self.wanted().saturating_sub(serving)
     }
 
-    /// Replicas that must be missing however hosts are chosen, if all are of one
-    /// size; zero where sizes are mixed and hosts suffice.
+    /// Lower bound on the number of missing replicas under any choice of hosts. It is exact if
+    /// all replicas have the same number of hosts; otherwise every replica counts as one of the
+    /// smallest size.
     fn bound(&self) -> u32 {
         let mut live: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
         for (id, host) in &self.hosts.hosts {
@@ -308,7 +326,7 @@
         }
     }
 
-    /// Carries out the planner's steps until it has none.
+    /// Plans and executes steps until the planner returns none.
     fn replan(&mut self) {
         loop {
             let context = PlacementContext {
@@ -335,6 +353,7 @@
         }
     }
 
+    /// Applies a step to the assignment and schedules its consequences.
     fn carry_out(&mut self, step: &PlacementStep) {
         let number = self.assignment.next_group;
         apply_step(&mut self.assignment, step);
--- a/standin/src/experiment/fleet.rs
+++ b/standin/src/experiment/fleet.rs
@@ -1,7 +1,7 @@
-//! Routers before engine models, in simulated time.
+//! Simulation of routers and engines.
 //!
-//! The routers are the daemons' own; only the network between them and the
-//! engines is simulated: one millisecond each way, reports that lag.
+//! The routers are those that the daemons use, the engines are performance models. The network
+//! between them is simulated with a delay of 1 ms each way, and load reports can lag.
 
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -27,77 +27,88 @@
 use super::workload::{Arrival, CUSTOMERS, DEADLINE, MAX_OUTPUT, SHARES};
 use crate::engine::model::{EngineModel, EngineParameters, SequenceSpec};
 
-/// One way between a router and an engine.
+/// One-way network delay between a router and an engine.
 const NETWORK: Duration = Duration::from_millis(1);
-/// Time between two ticks of a router.
+/// Interval between two ticks of a router.
 const TICK: Duration = Duration::from_millis(50);
-/// Time between two points of an engine's load history.
+/// Minimum interval between two samples of an engine's load history.
 const HISTORY: Duration = Duration::from_millis(50);
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Daemons.
+    /// Number of daemons, each with one router.
     pub routers: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Replicas over all of them.
+    /// Number of replicas in all failure domains together.
     pub replicas: usize,
     /// Settings of the routers.
     pub settings: RouterSettings,
-    /// How old the load in a report is.
+    /// Age of the load in a report.
     pub report_lag: Duration,
-    /// Whether the report says so.
+    /// Whether reports state the age of the load.
     pub tells_age: bool,
-    /// Replicas that are slow, and how much.
+    /// Number of slow replicas, and the factor on the duration of their steps.
     pub slow: (usize, f64),
-    /// Replicas that are lost, and when.
+    /// Number of replicas that are lost, and when, since the start of the run.
     pub lost: (usize, Duration),
-    /// KV memory of an engine in tokens.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_total: u64,
 }
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestResult {
-    /// Which customer.
+    /// Index of the customer.
     pub customer: usize,
-    /// When it came.
+    /// Time of arrival since the start of the run.
     pub came_at: Duration,
-    /// From its coming to its first token.
+    /// Time from arrival to the first token of the last attempt that generated one.
     pub first_token: Option<Duration>,
-    /// Mean time between its tokens.
+    /// Mean time between tokens, for a complete output of at least two tokens.
     pub token_interval: Option<Duration>,
-    /// The answer and when it was given.
+    /// Outcome and when it was returned, since the start of the run; `None` if the run ended
+    /// before.
     pub outcome: Option<(Outcome, Duration)>,
-    /// Attempts that were sent.
+    /// Number of attempts sent to engines.
     pub attempts: u32,
 }
 
-/// What a run came to.
+/// Results of a simulation.
 #[derive(Clone, Debug)]
 pub struct FleetResult {
-    /// Requests in the order in which they came.
+    /// Results of the requests, in the order of arrival.
     pub requests: Vec<RequestResult>,
-    /// Part of the prompt blocks that caches held.
+    /// Fraction of the prompt blocks that were found in prefix caches.
     pub prefix_hits: f64,
-    /// Sequences put back as KV memory was full.
+    /// Number of sequences preempted because a KV cache was full.
     pub preemptions: u64,
 }
 
+/// Event of the simulation. Routers, engines and arrivals are given by their index.
 #[derive(Clone, Debug, PartialEq)]
 enum Happening {
+    /// A request of the workload arrives.
     Arrives(usize),
+    /// A router ticks.
     Ticks(usize),
+    /// An attempt of a router reaches its engine.
     ReachesEngine(usize, Attempt),
+    /// An engine completes a step.
     StepEnds(usize),
+    /// A router receives the status of an upstream that it requested at this time, or `None` on a
+    /// timeout.
     ReportComes(usize, UpstreamId, Timestamp, Option<EngineStatus>),
+    /// A router receives the first token of an attempt.
     OutputComes(usize, RequestId, AttemptId),
+    /// A router learns how an attempt ended.
     EndComes(usize, RequestId, AttemptId, AttemptEnd),
+    /// A replica is lost.
     Loses(usize),
 }
 
-/// Orders the queue of happenings: the earliest first, then as they were added.
+/// Queue entry for an event: the earliest comes first, then the one added first.
 struct Entry {
     at: Duration,
     number: u64,
@@ -124,16 +135,21 @@
     }
 }
 
+/// Simulated engine of one replica.
 struct Engine {
     model: EngineModel,
     is_lost: bool,
+    /// Whether a step is in progress.
     is_stepping: bool,
+    /// Tokens of the step in progress.
     pending_tokens: Vec<crate::engine::model::Token>,
+    /// Router, attempt, and time of the first token (of the start, before it) by sequence.
     sequences: BTreeMap<u64, (usize, Attempt, Duration)>,
+    /// Samples of the load over the last 3 s, oldest first.
     history: VecDeque<(Duration, EngineLoad)>,
 }
 
-/// The simulated fleet.
+/// Simulated fleet. Times are since the start of the run.
 pub struct Fleet<'a> {
     spec: &'a FleetSpec,
     arrivals: &'a [Arrival],
@@ -147,7 +163,8 @@
     next_sequence: u64,
 }
 
-/// Runs a fleet over all arrivals, and until they are answered.
+/// Simulates a fleet under a workload, until all events are handled or two deadlines after the
+/// last arrival.
 pub fn run(spec: &FleetSpec, arrivals: &[Arrival], seed: u64) -> FleetResult {
     let mut fleet = Fleet::new(spec, arrivals, seed);
     let end = arrivals.last().map_or(Duration::ZERO, |last| last.at) + DEADLINE * 2;
@@ -173,7 +190,7 @@
     FailureDomain::new(&format!("domain-{index}"))
 }
 
-/// A configuration of one model whose replicas stand already.
+/// Returns the state of a fleet with one model whose replicas, of one host each, already serve.
 pub fn fleet_state(domains: usize, replicas: usize) -> FleetState {
     let mut state = FleetState::default();
     let mut fleet = FleetConfig::default();
@@ -211,7 +228,7 @@
     state
 }
 
-/// A replica's number is told by its address.
+/// Encodes the index of a replica in its address.
 fn address_of(replica: usize) -> Address {
     let high = (replica / 60_000) as u8;
     Address::from(([10, 0, 0, high], (replica % 60_000) as u16))
@@ -221,7 +238,7 @@
     usize::from(address.port())
 }
 
-/// A router of a daemon in such a fleet, with its topology.
+/// Returns the router of the daemon with this index, with the topology of the fleet.
 pub fn router_of(index: usize, spec: &FleetSpec, state: &FleetState) -> Router {
     let mut router = Router::new(spec.settings, Incarnation(index as u64 + 1));
     let me = DaemonId::new(&format!("daemon-{index}"));
@@ -254,7 +271,7 @@
             next_sequence: 0,
         };
         for index in 0..spec.routers {
-            // Ticks of the daemons are not in step.
+            // Staggers the ticks of the routers.
             let offset = TICK.mul_f64(index as f64 / spec.routers as f64);
             fleet.add(offset, Happening::Ticks(index));
         }
@@ -281,8 +298,9 @@
         });
     }
 
+    /// Current time by the clock of the routers.
     fn clock(&self) -> Timestamp {
-        // Starts a while after the start of the daemons.
+        // The run starts 10 s after the daemons.
         Timestamp::from_duration(self.now + Duration::from_secs(10))
     }
 
@@ -355,6 +373,7 @@
         self.add(TICK, Happening::Ticks(index));
     }
 
+    /// Status that an engine reports, with a load as old as the report lag; `None` if it is lost.
     fn status(&self, index: usize, group: Option<GroupNumber>) -> Option<EngineStatus> {
         let engine = &self.engines[index];
         if engine.is_lost {
@@ -394,7 +413,8 @@
                 }
                 RouterAction::Abandon(attempt) => self.abandon(attempt),
                 RouterAction::CheckUpstream { upstream, .. } => {
-                    // A lost replica comes back as another one: its host still answers.
+                    // A lost replica would return as a different one; its host still answers, so
+                    // the upstream doesn't count as gone.
                     let (now, is_gone) = (self.clock(), false);
                     let mut out = Vec::new();
                     self.routers[router].on_upstream_checked(
@@ -406,7 +426,7 @@
                     );
                     self.act(router, out);
                 }
-                // No engine of an experiment names a limit or crashes.
+                // Simulated engines neither announce limits nor crash on a request.
                 RouterAction::AskTrial(_)
                 | RouterAction::TellLimit(_)
                 | RouterAction::AskPermits { .. }
@@ -415,6 +435,7 @@
         }
     }
 
+    /// Cancels the sequence of an attempt.
     fn abandon(&mut self, attempt: AttemptId) {
         for engine in &mut self.engines {
             let sequence = engine
@@ -429,6 +450,7 @@
         }
     }
 
+    /// Submits an attempt to its engine.
     fn begin(&mut self, router: usize, attempt: Attempt) {
         let index = replica_of(attempt.address);
         if self.engines[index].is_lost {
@@ -454,7 +476,7 @@
         self.step(index);
     }
 
-    /// Starts the next step of an engine, unless one runs.
+    /// Starts the next step of an engine, unless a step is in progress.
     fn step(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         if engine.is_stepping || engine.is_lost {
@@ -483,6 +505,7 @@
         self.step(index);
     }
 
+    /// Sends a token of an engine to the router of its attempt.
     fn give_token(&mut self, index: usize, token: crate::engine::model::Token) {
         let engine = &mut self.engines[index];
         let Some((router, attempt, first_at)) = engine.sequences.get_mut(&token.id) else {
@@ -567,7 +590,8 @@
     }
 }
 
-/// Requests a second that one engine finishes when it always has enough to do.
+/// Returns the number of requests per second that one engine with this KV cache, in tokens,
+/// completes while its queue never runs empty. Simulates this for `time`.
 pub fn engine_capacity(arrivals: &[Arrival], kv_total: u64, time: Duration) -> f64 {
     let mut model = EngineModel::new(EngineParameters {
         kv_total,
--- a/standin/src/experiment/mod.rs
+++ b/standin/src/experiment/mod.rs
@@ -1,11 +1,11 @@
-//! Policies against baselines, on the same load and seeds.
+//! Experiments that compare policies with baselines under the same load and seeds.
 //!
-//! - `workload`: requests of customers at random times
-//! - `fleet`: routers before engine models, in simulated time
-//! - `routing`: the table of routing policies
-//! - `day`: a day of host failures for one failure domain
-//! - `placement`: the table of placement policies
-//! - `statistics`: medians and spreads, and runs over seeds in parallel
+//! - `workload`: random requests of several customers
+//! - `fleet`: simulation of routers and engines
+//! - `routing`: comparison table of routing policies
+//! - `day`: simulation of a day of host failures in one failure domain
+//! - `placement`: comparison table of placement policies
+//! - `statistics`: quantiles, and parallel runs over seeds
 
 pub mod day;
 pub mod fleet;
--- a/standin/src/experiment/placement.rs
+++ b/standin/src/experiment/placement.rs
@@ -1,4 +1,4 @@
-//! The table of placement policies: a day of failures, over seeds.
+//! Comparison table of placement policies: a day of host failures, over several seeds.
 
 use argh::FromArgs;
 use shalehinge::core::objects::PlacementWeights;
@@ -7,36 +7,42 @@
 use super::day::{DayResult, DaySpec, ModelSpec, run as run_day};
 use super::statistics::{quantile, run_all, spread};
 
-/// Failures of a host a day: 16 of 3,300.
+/// Failure rate of a host per day: 16 failures per day in a fleet of 3,300 hosts.
 const FAILURES: f64 = 16.0 / 3_300.0;
-/// A day with so many times more failures, where policies differ more.
+/// Factor on the failure rate for the second set of runs, in which the policies differ more.
 const BAD_DAY: f64 = 6.0;
 
 /// compare placement policies
 #[derive(FromArgs, Debug, Clone)]
 #[argh(subcommand, name = "placement")]
 pub struct PlacementArguments {
-    /// seeds a cell
+    /// number of seeds per table row
     #[argh(option, default = "40")]
     pub seeds: u64,
 }
 
+/// Placement weights of the Hraunvegur fleet, which favor low group downtime.
 const HRAUNVEGUR: PlacementWeights = PlacementWeights {
     group_downtime: 3.0,
     stranded_accelerators: 1.0,
 };
+/// Placement weights of the Maule fleet, which favor few stranded accelerators.
 const MAULE: PlacementWeights = PlacementWeights {
     group_downtime: 1.0,
     stranded_accelerators: 3.0,
 };
 
+/// Failure domain of an experiment.
 struct Size {
+    /// Name in the table.
     name: &'static str,
+    /// Number of hosts in each fabric domain.
     fabrics: Vec<usize>,
+    /// Models to place.
     models: Vec<ModelSpec>,
 }
 
-/// One failure domain of today's fleets, and one of the size to come.
+/// Returns failure domains of the current fleets' size and of the planned size.
 fn sizes() -> Vec<Size> {
     let model = |name, hosts, replicas| ModelSpec {
         name,
@@ -45,27 +51,27 @@
     };
     vec![
         Size {
-            name: "today, 17 replicas on 122 hosts",
+            name: "current, 17 replicas on 122 hosts",
             fabrics: vec![20, 25, 32, 21, 24],
             models: vec![model("large", 8, 12), model("small", 4, 5)],
         },
         Size {
-            name: "today, without spares",
+            name: "current, without spare hosts",
             fabrics: vec![20, 24, 32, 20, 20],
             models: vec![model("large", 8, 12), model("small", 4, 5)],
         },
         Size {
-            name: "today with room, 18 replicas on 144 hosts",
+            name: "current, with spare hosts, 18 replicas on 144 hosts",
             fabrics: vec![24; 6],
             models: vec![model("large", 8, 14), model("small", 4, 4)],
         },
         Size {
-            name: "to come, 80 replicas of 8 on 660 hosts",
+            name: "planned, 80 replicas of 8 hosts on 660 hosts",
             fabrics: vec![66; 10],
             models: vec![model("large", 8, 80)],
         },
         Size {
-            name: "to come, three sizes on 660 hosts",
+            name: "planned, three replica sizes on 660 hosts",
             fabrics: vec![66; 10],
             models: vec![
                 model("huge", 16, 10),
@@ -76,10 +82,10 @@
     ]
 }
 
-/// Prints the table.
+/// Runs the experiments and prints the table to standard output.
 pub fn run(arguments: &PlacementArguments) {
     println!(
-        "| domain | failures | policy | group downtime h | no placement could avoid h | stranded accelerator h | host loads |"
+        "| domain | failures | policy | group downtime h | unavoidable downtime h | stranded accelerator h | host loads |"
     );
     println!("|---|---|---|---|---|---|---|");
     for size in sizes() {
--- a/standin/src/experiment/routing.rs
+++ b/standin/src/experiment/routing.rs
@@ -1,4 +1,4 @@
-//! The table of routing policies: scenarios by load, over seeds.
+//! Comparison table of routing policies: scenarios and loads, over several seeds.
 
 use std::time::Duration;
 
@@ -12,58 +12,70 @@
 use super::statistics::{quantile, run_all, spread};
 use super::workload::{Arrival, CUSTOMERS, DEADLINE, SHARES, arrivals, even_demand};
 
-/// Daemons, failure domains and replicas of the experiment.
+/// Number of daemons.
 const ROUTERS: usize = 9;
+/// Number of failure domains.
 const DOMAINS: usize = 3;
+/// Number of replicas.
 const REPLICAS: usize = 24;
-/// Time over which requests come; the first part is left out.
+/// Time over which requests arrive.
 const TIME: Duration = Duration::from_secs(90);
+/// Start of the measurement in scenarios without lost replicas.
 const WARM_UP: Duration = Duration::from_secs(20);
-/// When replicas are lost in the scenario of losses.
+/// When replicas are lost, and the measurement starts, in scenarios with lost replicas.
 const LOSS_AT: Duration = Duration::from_secs(20);
-/// Requests that came so long before the measured time are looked at as well.
+/// Requests that arrive up to this long before the start of the measurement are included.
 const LOSS_COHORT: Duration = Duration::from_secs(5);
 
 /// compare routing policies
 #[derive(FromArgs, Debug, Clone)]
 #[argh(subcommand, name = "routing")]
 pub struct RoutingArguments {
-    /// seeds a cell
+    /// number of seeds per table row
     #[argh(option, default = "20")]
     pub seeds: u64,
 
-    /// only policies whose name contains this
+    /// run only policies whose name contains this text
     #[argh(option, default = "String::new()")]
     pub policy: String,
 
-    /// only scenarios whose name contains this
+    /// run only scenarios whose name contains this text
     #[argh(option, default = "String::new()")]
     pub scenario: String,
 }
 
-/// A policy with its name.
+/// Routing policy to compare.
 struct Policy {
+    /// Name in the table.
     name: &'static str,
+    /// Number of daemons.
     routers: usize,
     settings: RouterSettings,
 }
 
-/// A scenario with its name.
+/// Conditions under which policies are compared.
 #[derive(Clone, Copy)]
 struct Scenario {
+    /// Name in the table.
     name: &'static str,
+    /// Number of slow replicas.
     slow: usize,
+    /// Number of replicas that are lost.
     lost: usize,
+    /// Age of the load in reports.
     report_lag: Duration,
+    /// Whether reports state the age of the load.
     tells_age: bool,
+    /// Whether one small customer's demand is ten times its share.
     greedy: bool,
+    /// Capacity of an engine's KV cache, in tokens.
     kv_total: u64,
 }
 
-/// KV memory of an engine in tokens.
+/// Default capacity of an engine's KV cache, in tokens.
 const KV: u64 = 48_000;
 
-/// Nothing is wrong; the other scenarios say how they differ.
+/// Scenario without faults; the other scenarios differ from it in the fields that they set.
 const CALM: Scenario = Scenario {
     name: "calm",
     slow: 0,
@@ -104,9 +116,10 @@
     },
 ];
 
+/// Offered loads, as multiples of the capacity of all replicas.
 const LOADS: [f64; 3] = [0.7, 0.95, 1.3];
 
-/// Neither limits nor refusals: requests go to an engine at once.
+/// Settings for a policy without admission control: requests are sent to an engine at once.
 fn without_limits(policy: ChoicePolicy) -> RouterSettings {
     RouterSettings {
         policy,
@@ -176,25 +189,35 @@
     ]
 }
 
-/// What one run came to, against capacity.
+/// Measurements of one run.
 #[derive(Clone, Copy, Debug, Default)]
 struct Measures {
+    /// Rate of answers completed within their deadline, as a fraction of the capacity.
     goodput: f64,
+    /// Median time to first token, in seconds.
     first_p50: f64,
+    /// 95th percentile of the time to first token, in seconds.
     first_p95: f64,
+    /// 99th percentile of the time to first token, in seconds.
     first_p99: f64,
+    /// 95th percentile of the mean time between tokens, in milliseconds.
     interval_p95: f64,
+    /// Fraction of requests that were refused without being run.
     refused: f64,
+    /// Fraction of requests that were neither refused nor completed within their deadline.
     late: f64,
+    /// Lowest ratio of goodput to fair share among the customers.
     worst_share: f64,
+    /// Mean number of attempts per request that was sent to an engine.
     attempts: f64,
+    /// Fraction of the prompt blocks found in prefix caches, over the complete run.
     hits: f64,
 }
 
-/// Prints the table.
+/// Runs the experiments and prints the table to standard output.
 pub fn run(arguments: &RoutingArguments) {
     println!(
-        "| scenario | load | policy | goodput/capacity | first token p50 s | p95 s | p99 s | between tokens p95 ms | refused early | failed late | worst share of due | attempts | prefix hits |"
+        "| scenario | load | policy | goodput/capacity | first token p50 s | p95 s | p99 s | between tokens p95 ms | refused | failed or late | lowest goodput/fair share | attempts | prefix hits |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|");
     for scenario in SCENARIOS {
@@ -247,7 +270,7 @@
     let mut demand = even;
     let mut per_second = per_engine * REPLICAS as f64 * load;
     if scenario.greedy {
-        // One small customer asks for ten times its share beside the others.
+        // One small customer's demand is ten times its share, in addition to that of the others.
         let greedy = CUSTOMERS - 1;
         let before: f64 = demand.iter().sum();
         demand[greedy] *= 10.0;
@@ -282,7 +305,7 @@
     capacity: f64,
     demand: &[f64; CUSTOMERS],
 ) -> Measures {
-    // Those that came early enough to be answered within the run.
+    // Leaves out requests whose deadline is after the end of the run.
     let measured: Vec<_> = result
         .requests
         .iter()
@@ -300,7 +323,7 @@
         .iter()
         .filter(|request| answered_in_time(request).is_some())
         .collect();
-    // Answers given within the measured time, whenever their requests came.
+    // Answers completed during the measurement, whenever their requests arrived.
     let answered: Vec<_> = result
         .requests
         .iter()
@@ -340,8 +363,8 @@
     }
 }
 
-/// The worst customer's goodput against its due: its demand, or what its share
-/// of the capacity comes to when unused shares are lent.
+/// Returns the lowest ratio of goodput to fair share among the customers. All rates are in
+/// requests per second.
 fn worst_share(
     good: &[f64; CUSTOMERS],
     rate: f64,
@@ -355,7 +378,8 @@
     ratios.fold(f64::INFINITY, f64::min)
 }
 
-/// Divides the capacity by shares; what one does not want goes to the others.
+/// Divides the capacity by weighted max-min fairness: in proportion to the shares, up to each
+/// customer's demand. Capacity that a customer doesn't need is divided among the others.
 fn water_fill(wants: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
     let mut due = [0.0; CUSTOMERS];
     let mut open: Vec<usize> = (0..CUSTOMERS).collect();
--- a/standin/src/experiment/statistics.rs
+++ b/standin/src/experiment/statistics.rs
@@ -1,13 +1,14 @@
-//! Medians and spreads, and runs over seeds in parallel.
+//! Quantiles, and parallel runs over seeds.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-/// Threads that runs are spread over.
+/// Number of threads that run jobs.
 const THREADS: usize = 6;
 
-/// The value below which this part of the values lies.
+/// Returns the quantile of the values at `part` (0 to 1) by the nearest rank, or NaN if there are
+/// no values.
 pub fn quantile(values: &[f64], part: f64) -> f64 {
     if values.is_empty() {
         return f64::NAN;
@@ -18,7 +19,7 @@
     sorted[(last as f64 * part).round() as usize]
 }
 
-/// Median with the tenth and ninetieth part, as text.
+/// Formats the median with the 10th and 90th percentile, as `median (p10..p90)`.
 pub fn spread(values: &[f64], digits: usize) -> String {
     format!(
         "{:.digits$} ({:.digits$}..{:.digits$})",
@@ -28,7 +29,7 @@
     )
 }
 
-/// Runs every job and gives the results in the order of the jobs.
+/// Runs all jobs in parallel and returns their results in the order of the jobs.
 pub fn run_all<J: Sync, R: Send>(jobs: &[J], run: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
--- a/standin/src/experiment/workload.rs
+++ b/standin/src/experiment/workload.rs
@@ -1,7 +1,7 @@
-//! Requests of ten customers at random times.
+//! Random requests of ten customers.
 //!
-//! Prompts begin with one of a customer's few templates, as drafts and dial
-//! readings do, and go on differently.
+//! A prompt consists of one of the customer's few templates and a unique suffix, as prompts for
+//! drafts and for dial readings do.
 
 use std::time::Duration;
 
@@ -10,39 +10,39 @@
 use shalehinge::core::router::prefix::BLOCK_TOKENS;
 use shalehinge::core::router::request::PrefixChain;
 
-/// Customers, the first two of them large.
+/// Number of customers; the first two have the largest shares.
 pub const CUSTOMERS: usize = 10;
-/// Shares of the customers.
+/// Capacity shares of the customers.
 pub const SHARES: [u32; CUSTOMERS] = [30, 20, 10, 10, 5, 5, 5, 5, 5, 5];
-/// Templates of each customer.
+/// Number of templates per customer.
 const TEMPLATES: u64 = 12;
-/// Blocks of a template, from and to.
+/// Length of a template in blocks, as a half-open range.
 const TEMPLATE_BLOCKS: (u64, u64) = (4, 16);
-/// Tokens of a prompt after its template, from and to.
+/// Length of the suffix of a prompt in tokens, as a half-open range.
 const OWN_TOKENS: (u32, u32) = (50, 500);
-/// Tokens that callers allow.
+/// Maximum number of output tokens that callers request.
 pub const MAX_OUTPUT: u32 = 256;
-/// Tokens of an answer, from and to.
+/// Length of an output in tokens, as a half-open range.
 const OUTPUT_TOKENS: (u32, u32) = (30, 256);
-/// Time for the whole answer.
+/// Time from arrival by which the complete answer is due.
 pub const DEADLINE: Duration = Duration::from_secs(20);
 
-/// One request.
+/// Arrival of one request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When it comes.
+    /// Time of arrival since the start of the run.
     pub at: Duration,
-    /// Which customer.
+    /// Index of the customer.
     pub customer: usize,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that the engine will generate.
+    /// Number of tokens that the engine will generate.
     pub output_tokens: u32,
-    /// Start of the prompt, hashed.
+    /// Hashes of the leading blocks of the prompt.
     pub prefix: PrefixChain,
 }
 
-/// Draws one request, of a customer chosen by demand.
+/// Draws a random request of a customer chosen in proportion to demand.
 fn draw(rng: &mut SmallRng, at: Duration, demand: &[f64; CUSTOMERS]) -> Arrival {
     let total: f64 = demand.iter().sum();
     let mut point = rng.random_range(0.0..total);
@@ -51,7 +51,7 @@
         point -= demand[customer];
         customer += 1;
     }
-    // Small templates are asked for more often than large ones.
+    // Short templates are used more often than long ones.
     let template = (rng.random::<f64>().powi(2) * TEMPLATES as f64) as u64;
     let blocks = TEMPLATE_BLOCKS.0 + template * (TEMPLATE_BLOCKS.1 - TEMPLATE_BLOCKS.0) / TEMPLATES;
     let mut prefix: PrefixChain = (0..blocks)
@@ -69,7 +69,8 @@
     }
 }
 
-/// Requests at a rate, for a time.
+/// Generates Poisson arrivals at an average rate of `per_second` over `time`. Customers are
+/// chosen in proportion to `demand`.
 pub fn arrivals(
     rng: &mut SmallRng,
     per_second: f64,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Demand in proportion to the shares.
+/// Returns the demand of each customer, equal to its share.
 pub fn even_demand() -> [f64; CUSTOMERS] {
     SHARES.map(f64::from)
 }
--- a/standin/src/load/client.rs
+++ b/standin/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One streamed request, with the time of each token.
+//! Client that sends one streamed request and measures the latency of each token.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,23 +18,24 @@
     body: String,
 }
 
-/// What came of it.
+/// Result of a streamed request.
 #[derive(Clone, Debug, Default)]
 pub struct StreamResult {
-    /// HTTP status, 0 if there was none.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// Whether the end mark came.
+    /// Whether the `[DONE]` event was received.
     pub is_whole: bool,
-    /// From the request to the first token.
+    /// Time from sending the request to the first token.
     pub first_token: Option<Duration>,
-    /// From the engine to here, of each token.
+    /// Time from emission by the engine to receipt, for each token that states when it was
+    /// emitted. Requires both processes to share a wall clock.
     pub on_the_way: Vec<Duration>,
-    /// Between each two tokens.
+    /// Times between consecutive tokens.
     pub intervals: Vec<Duration>,
 }
 
 impl StreamRequest {
-    /// A request whose prompt starts differently from all others.
+    /// Returns a request whose prompt starts with `salt`, so that prompts don't share a prefix.
     pub fn new(arguments: &LoadArguments, salt: u64) -> Self {
         let mut prompt = format!("{salt:016x} ");
         while prompt.len() < arguments.prompt_bytes {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Sends the request and reads its answer to the end.
+/// Sends a request and reads its response up to the `[DONE]` event or the end of the stream.
 pub async fn stream_once(client: &Client, request: &StreamRequest) -> StreamResult {
     let mut result = StreamResult::default();
     let sent = Instant::now();
@@ -94,6 +95,7 @@
     result
 }
 
+/// Returns the wall-clock time at which the engine emitted an event.
 fn emitted_at(data: &str) -> Option<Duration> {
     let event: serde_json::Value = serde_json::from_str(data).ok()?;
     event.get("emitted_us")?.as_u64().map(Duration::from_micros)
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -1,12 +1,12 @@
-//! Open-loop load with latencies.
+//! Open-loop load generator that measures latencies.
 //!
-//! Requests start at seeded random times, whether or not earlier ones have
-//! ended. Each token carries the time at which the engine gave it out, so the
-//! delay of every token on its way is known. Warm-up is left out. Load goes to
-//! a loopback address only and ends by itself.
+//! Requests start at seeded random times, whether or not earlier ones have completed. Each token
+//! carries the time at which the engine emitted it, so the transit time of every token is known.
+//! Requests of the warm-up aren't recorded. Load is sent to loopback addresses only, for a
+//! limited time.
 //!
-//! - `client`: one streamed request
-//! - `report`: histograms and their table
+//! - `client`: client that sends one streamed request
+//! - `report`: latency histograms and their table
 
 pub mod client;
 pub mod report;
@@ -23,60 +23,66 @@
 use self::client::{StreamRequest, stream_once};
 use self::report::Report;
 
-/// Longest load.
+/// Maximum duration of a load, with its warm-up, in seconds.
 const MOST_SECONDS: u64 = 600;
 
-/// send streamed requests at a fixed rate and report latencies
+/// send streamed requests at a fixed average rate and report latencies
 #[derive(FromArgs, Debug, Clone)]
 #[argh(subcommand, name = "load")]
 pub struct LoadArguments {
-    /// address to send to, a daemon or an engine; loopback only
+    /// loopback address of a daemon or an engine
     #[argh(option)]
     pub to: SocketAddr,
 
-    /// key of the customer
+    /// API key of the customer
     #[argh(option, default = "String::from(\"none\")")]
     pub key: String,
 
-    /// model
+    /// name of the model
     #[argh(option)]
     pub model: String,
 
-    /// requests a second
+    /// average number of requests per second
     #[argh(option)]
     pub rate: f64,
 
-    /// seconds that are measured
+    /// duration of the measurement, in seconds
     #[argh(option, default = "20")]
     pub seconds: u64,
 
-    /// seconds before, that are left out
+    /// duration of the unmeasured warm-up before it, in seconds
     #[argh(option, default = "5")]
     pub warm_up: u64,
 
-    /// tokens of each answer
+    /// maximum number of output tokens per request
     #[argh(option, default = "64")]
     pub max_tokens: u32,
 
-    /// bytes of each prompt
+    /// length of each prompt in bytes, at least 16
     #[argh(option, default = "400")]
     pub prompt_bytes: usize,
 
-    /// seed of the times
+    /// seed of the request times and prompts
     #[argh(option, default = "1")]
     pub seed: u64,
 }
 
 /// Sends the load and prints the report.
+///
+/// # Errors
+///
+/// Fails if the address isn't a loopback address, or if the load would last longer than 600 s.
 pub fn run(arguments: &LoadArguments) -> miette::Result<()> {
     if !arguments.to.ip().is_loopback() {
         return Err(miette::miette!(
-            "load goes to loopback only, not to {}",
+            "load can be sent to loopback addresses only, not to {}",
             arguments.to
         ));
     }
     if arguments.seconds + arguments.warm_up > MOST_SECONDS {
-        return Err(miette::miette!("load ends within {MOST_SECONDS} s"));
+        return Err(miette::miette!(
+            "load with its warm-up can last at most {MOST_SECONDS} s"
+        ));
     }
     let report = smol::block_on(send(arguments.clone()));
     println!("{}", report.table());
--- a/standin/src/load/report.rs
+++ b/standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Histograms of a load, and their table.
+//! Latency histograms of a load, and their table.
 
 use std::time::Duration;
 
@@ -6,13 +6,13 @@
 
 use super::client::StreamResult;
 
-/// Digits that a histogram keeps.
+/// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// What a load came to.
+/// Results of a load. Histograms are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Seconds measured.
+    /// Duration of the measurement, in seconds.
     pub seconds: f64,
     sent: u64,
     whole: u64,
@@ -26,7 +26,7 @@
 
 impl Default for Report {
     fn default() -> Self {
-        // A histogram of three digits can always be made.
+        // `Histogram::new` accepts up to five significant digits.
         let new = || Histogram::new(DIGITS).expect("three digits are valid");
         Self {
             seconds: 0.0,
@@ -43,12 +43,12 @@
 }
 
 fn record(histogram: &mut Histogram<u64>, value: Duration) {
-    // The histogram grows as needed; it refuses no value.
+    // The histogram resizes automatically and accepts every value.
     let _ = histogram.record(value.as_micros() as u64);
 }
 
 impl Report {
-    /// Takes in one request.
+    /// Adds the result of one request.
     pub fn record(&mut self, result: &StreamResult) {
         self.sent += 1;
         match (result.is_whole, result.status) {
@@ -74,17 +74,17 @@
         }
     }
 
-    /// The report as text.
+    /// Formats the report as a text table.
     pub fn table(&self) -> String {
         let mut table = format!(
-            "sent {} whole {} refused {} broken {} in {} s\n",
+            "sent {} completed {} refused {} incomplete {} in {} s\n",
             self.sent, self.whole, self.refused, self.broken, self.seconds
         );
         table.push_str("milliseconds              p50       p95       p99       max\n");
         for (name, histogram) in [
             ("first token", &self.first_token),
-            ("first token on the way", &self.first_on_the_way),
-            ("other tokens on the way", &self.on_the_way),
+            ("first token in transit", &self.first_on_the_way),
+            ("other tokens in transit", &self.on_the_way),
             ("between tokens", &self.intervals),
         ] {
             let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
--- a/standin/src/platform/handler.rs
+++ b/standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform's API over HTTP. See docs/INTERFACES.md.
+//! HTTP API of the stand-in platform. See docs/INTERFACES.md.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use super::store::{Fault, Store};
 use crate::server::{query, read_json, write_json};
 
-/// Longest time that a watch is held open.
+/// Maximum time that a watch request is held open.
 const MOST_WAIT: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Default)]
 struct Platform(Arc<Mutex<Store>>);
 
-/// Handles the API and the faults.
+/// Returns the handler of the object API and of the administrative endpoints.
 pub fn handler() -> impl Handler {
     let platform = Platform::default();
     let get = platform.clone();
@@ -83,7 +83,7 @@
     conn.with_status(Status::ServiceUnavailable).halt()
 }
 
-/// Says how often the store was restored from a copy.
+/// Adds the header with the store's era.
 fn in_era(conn: Conn, store: &Store) -> Conn {
     conn.with_response_header(ERA, store.era().to_string())
 }
@@ -177,7 +177,8 @@
                 }
                 store.next_write()
             };
-            // Looks up again at times, so that a fault set meanwhile shows.
+            // Checks again at least every 500 ms, so that a fault set in the meantime takes
+            // effect.
             let left = until.saturating_duration_since(Instant::now());
             within(left.min(Duration::from_millis(500)), next_write.recv()).await;
         }
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the platform: object API with versions, conditional updates and
-//! watches, and the host list. Faults can be set.
+//! Stand-in for the platform: object API with versions, conditional updates and watches, and
+//! the host list. Faults can be injected.
 //!
-//! - `store`: the objects
-//! - `handler`: the API over HTTP
+//! - `store`: object store
+//! - `handler`: HTTP API
 
 pub mod handler;
 pub mod store;
@@ -14,21 +14,29 @@
 
 use crate::server::{announce, serve};
 
-/// run a stand-in of the platform
+/// run a stand-in for the platform
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "platform")]
 pub struct PlatformArguments {
-    /// address to listen on; port 0 lets the system choose
+    /// address to listen on; with port 0, the operating system chooses the port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     pub listen: SocketAddr,
 }
 
-/// Starts the platform in this process.
+/// Starts the platform in this process and returns its bound address and its handle.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn spawn(listen: SocketAddr) -> miette::Result<(SocketAddr, ServerHandle)> {
     serve(listen, handler::handler())
 }
 
-/// Runs until the process is ended.
+/// Runs the platform until the process is terminated.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn run(arguments: &PlatformArguments) -> miette::Result<()> {
     let (address, handle) = spawn(arguments.listen)?;
     announce("platform", address);
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects of the stand-in platform.
+//! Object store of the stand-in platform.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,35 @@
 use serde_json::Value;
 use shalehinge::object_api::http::{WireList, WireObject};
 
-/// What the platform does wrong at present.
+/// Fault that the platform currently shows; set with `PUT /admin/fault`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// Answers normally.
     #[default]
     None,
-    /// It refuses every call.
+    /// Answers every call of the object API with status 503.
     Down,
-    /// Writes take effect and their answers are lost.
+    /// Applies writes, but answers them with status 503.
     LoseAnswers,
 }
 
-/// Calls taken, by kind.
+/// Number of calls to the object API, by type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads of one object and lists.
+    /// Reads of single objects, and lists.
     pub reads: u64,
-    /// Writes, refused ones among them.
+    /// Writes, including refused ones.
     pub writes: u64,
-    /// Watches.
+    /// Watch requests.
     pub watches: u64,
-    /// Writes that were refused, as the version was another.
+    /// Writes refused because the expected version didn't match.
     pub conflicts: u64,
-    /// Bytes of the values written.
+    /// Total size of the values in writes, in bytes of JSON.
     pub bytes_written: u64,
 }
 
-/// What is kept, and what a copy holds of it.
+/// Contents of the store, or of a backup of it.
 #[derive(Clone, Debug, Default)]
 struct Content {
     revision: u64,
@@ -48,12 +48,12 @@
     value: Value,
 }
 
-/// All objects.
+/// Object store with one backup.
 #[derive(Debug)]
 pub struct Store {
-    /// What it does wrong.
+    /// Injected fault.
     pub fault: Fault,
-    /// Calls taken.
+    /// Number of calls taken.
     pub counts: CallCounts,
     era: u32,
     content: Content,
@@ -62,7 +62,7 @@
 }
 
 impl Default for Store {
-    /// Empty, in its first era.
+    /// Returns an empty store in its first era.
     fn default() -> Self {
         Self {
             fault: Fault::None,
@@ -76,20 +76,25 @@
 }
 
 impl Store {
-    /// One object.
+    /// Returns an object, or `None` if it doesn't exist.
     pub fn get(&self, kind: &str, name: &str) -> Option<WireObject> {
         let key = (kind.to_owned(), name.to_owned());
         let stored = self.content.objects.get(&key)?;
         Some(wire(&key, stored))
     }
 
-    /// Version of an object; 0 if it does not exist.
+    /// Returns the version of an object; 0 if it doesn't exist.
     pub fn version(&self, kind: &str, name: &str) -> u64 {
         let key = (kind.to_owned(), name.to_owned());
         self.content.objects.get(&key).map_or(0, |s| s.version)
     }
 
-    /// Writes an object if it has the expected version; otherwise says which it has.
+    /// Writes an object if it has the expected version (0: it must not exist), and returns its
+    /// new version.
+    ///
+    /// # Errors
+    ///
+    /// Returns the current version if it isn't the expected one.
     pub fn put(&mut self, kind: &str, name: &str, expect: u64, value: Value) -> Result<u64, u64> {
         let key = (kind.to_owned(), name.to_owned());
         let current = self.content.objects.get(&key).map_or(0, |s| s.version);
@@ -100,7 +105,8 @@
         Ok(self.write(key, value))
     }
 
-    /// Changes an object whatever its version; for the host list alone.
+    /// Changes an object whatever its version. For the host list only: a missing object starts
+    /// as an empty host list.
     pub fn update(&mut self, kind: &str, name: &str, change: impl FnOnce(&mut Value)) {
         let key = (kind.to_owned(), name.to_owned());
         let mut value = self
@@ -132,30 +138,30 @@
         }
     }
 
-    /// How often it was restored from a copy.
+    /// Returns the era: 1 at first, and 1 more after each restore.
     pub fn era(&self) -> u32 {
         self.era
     }
 
-    /// Copies all that is kept now.
+    /// Replaces the backup with a copy of the current contents.
     pub fn take_copy(&mut self) {
         self.copy = self.content.clone();
     }
 
-    /// Restored from the copy: what was written since is lost, and versions and revisions are
-    /// given out anew.
+    /// Restores the contents from the backup. Later writes are lost, and their versions and
+    /// revisions are assigned again to new writes.
     pub fn restore(&mut self) {
         self.content = self.copy.clone();
         self.era += 1;
         self.wake_watchers();
     }
 
-    /// Whether changes after this revision can be told.
+    /// Whether the store has reached this revision, so that changes after it are known.
     pub fn has_reached(&self, revision: u64) -> bool {
         revision <= self.content.revision
     }
 
-    /// Objects of these kinds that changed after a revision.
+    /// Returns the objects of these comma-separated kinds that changed after a revision.
     pub fn changed(&self, kinds: &str, after: u64) -> WireList {
         let kinds: Vec<&str> = kinds.split(',').collect();
         let objects = self
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Hears of the next write.
+    /// Returns a channel that receives a message on the next write or restore.
     pub fn next_write(&mut self) -> async_channel::Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
         self.watchers.push(sender);
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! What the stand-in servers share.
+//! HTTP helpers shared by the stand-in servers.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,15 @@
 use trillium::{Conn, Handler, KnownHeaderName, Status};
 use trillium_server_common::ServerHandle;
 
-/// Bytes of a body at most.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: u64 = 16 * 1024 * 1024;
 
-/// Serves on an address; port 0 lets the system choose.
+/// Starts a server in the background and returns its bound address and its handle. With port 0,
+/// the operating system chooses the port.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn serve(
     address: SocketAddr,
     handler: impl Handler,
@@ -25,14 +30,15 @@
     Ok((bound, handle))
 }
 
-/// Reads a body in JSON.
+/// Reads a JSON request body. Returns `None` if it can't be read, is longer than 16 MiB or
+/// doesn't parse as `T`.
 pub async fn read_json<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let body = conn.request_body().with_max_len(MAX_BODY);
     let bytes = body.read_bytes().await.ok()?;
     serde_json::from_slice(&bytes).ok()
 }
 
-/// Answers with JSON.
+/// Sets a JSON response body and halts the connection, so that later handlers don't run.
 pub fn write_json(conn: Conn, status: Status, value: &impl Serialize) -> Conn {
     let body = serde_json::to_string(value).unwrap_or_default();
     conn.with_status(status)
@@ -41,7 +47,8 @@
         .halt()
 }
 
-/// A parameter of the query.
+/// Returns a parameter of the query string, or `None` if it is absent or doesn't parse as `T`.
+/// Percent-encoding isn't decoded.
 pub fn query<T: std::str::FromStr>(conn: &Conn, name: &str) -> Option<T> {
     conn.querystring()
         .split('&')
@@ -50,7 +57,7 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// Prints a line that a script can read the bound address from.
+/// Prints the bound address to standard output, where scripts read it from.
 pub fn announce(what: &str, address: SocketAddr) {
     println!("{what} listens on {address}");
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,5 +1,4 @@
-//! Stand-in of a plain service: answers with what it was sent, and counts its
-//! calls by key.
+//! Stand-in for a plain service: echoes each request and counts its calls by idempotency key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,26 +16,34 @@
 
 use crate::server::{announce, read_json, serve, write_json};
 
-/// run a stand-in of a plain service
+/// run a stand-in for a plain service
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "service")]
 pub struct ServiceArguments {
-    /// address to listen on; port 0 lets the system choose
+    /// address to listen on; with port 0, the operating system chooses the port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     pub listen: SocketAddr,
 
-    /// milliseconds before each answer
+    /// delay before each response, in milliseconds
     #[argh(option, default = "5")]
     pub delay_ms: u64,
 }
 
-/// Starts a service in this process.
+/// Starts a service in this process and returns its bound address and its handle.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn spawn(arguments: &ServiceArguments) -> miette::Result<(SocketAddr, ServerHandle)> {
     let delay = Duration::from_millis(arguments.delay_ms);
     serve(arguments.listen, handler(delay))
 }
 
-/// Runs until the process is ended.
+/// Runs the service until the process is terminated.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn run(arguments: &ServiceArguments) -> miette::Result<()> {
     let (address, handle) = spawn(arguments)?;
     announce("service", address);
@@ -44,20 +51,20 @@
     Ok(())
 }
 
-/// What the service says of itself at present.
+/// Fault or upstream signal that the service currently shows; set with `PUT /admin/fault`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceFault {
-    /// Nothing.
+    /// Answers normally.
     #[default]
     None,
-    /// It runs nothing, and asks for a cooldown by this `Retry-After`.
+    /// Rejects every request with status 503 and this `Retry-After` value.
     AsksForCooldown(String),
-    /// It answers well, and says that it is leaving.
+    /// Answers normally, with a header that announces that it is leaving.
     SaysLeaving,
 }
 
-/// Key of calls that were turned away, where calls are counted by key.
+/// Key under which `GET /admin/calls` counts the calls rejected with a cooldown.
 pub const TURNED_AWAY: &str = "turned away";
 
 #[derive(Debug, Default)]
