--- a/shalehinge/tests/engine_cooldowns.rs
+++ b/shalehinge/tests/engine_cooldowns.rs
@@ -6,7 +6,7 @@
 
 use process_support::{Answer, DaemonProcess, Fleet, KEY, chat, chat_body, exchange, wait_for};
 use standin::engine::faults::EngineFault;
-use standin::service::{ServiceFault, TURNED_AWAY};
+use standin::service::{REJECTED_CALLS, ServiceFault};
 
 /// Requests that users allow in a cooldown, and the one that learns of it.
 const ALLOWED: usize = 3;
@@ -85,7 +85,7 @@
     while began.elapsed() < Duration::from_secs(3) {
         assert_ne!(call_service(&daemon).status, 200);
     }
-    let made = fleet.service_calls(TURNED_AWAY);
+    let made = fleet.service_calls(REJECTED_CALLS);
     assert!(made <= ALLOWED as u64, "{made} calls, allowed {ALLOWED}");
     fleet.service_fault(&ServiceFault::None);
     wait_for("it is served again", || {
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -21,7 +21,7 @@
 use standin::engine::EngineArguments;
 use standin::engine::faults::EngineFault;
 use standin::engine::server::{RunningEngine, spawn as spawn_engines};
-use standin::platform::store::Fault;
+use standin::platform::store::PlatformFault;
 use standin::service::{ServiceArguments, ServiceFault};
 
 const TOKEN: &str = "token";
@@ -326,7 +326,7 @@
         );
     }
 
-    pub fn platform_fault(&self, fault: Fault) {
+    pub fn platform_fault(&self, fault: PlatformFault) {
         let body = serde_json::to_string(&fault).expect("JSON");
         let answer = exchange(self.platform, "PUT", "/admin/fault", &[], &body);
         assert_eq!(answer.status, 204);
--- a/shalehinge/tests/processes.rs
+++ b/shalehinge/tests/processes.rs
@@ -4,7 +4,7 @@
 mod process_support;
 
 use process_support::{DaemonProcess, Fleet, KEY, chat, chat_body, exchange, wait_for};
-use standin::platform::store::Fault;
+use standin::platform::store::PlatformFault;
 
 fn holds(daemon: &DaemonProcess) -> usize {
     daemon.log_text().matches("lease: holds d in epoch").count()
@@ -69,7 +69,7 @@
 fn requests_go_on_while_the_platform_is_away_and_keyed_ones_are_refused() {
     let mut fleet = Fleet::new("outage", 3);
     let daemon = fleet.serving();
-    fleet.platform_fault(Fault::Down);
+    fleet.platform_fault(PlatformFault::Down);
     wait_for("the lease has lapsed", || {
         let text = daemon.log_text();
         text.contains("lease: no longer holds d").then_some(())
@@ -77,7 +77,7 @@
     assert_eq!(chat(daemon.callers, &[], &chat_body(4, false)).status, 200);
     assert_eq!(notice(&daemon, "aviso-2"), 503);
     assert_eq!(fleet.service_calls("aviso-2"), 0);
-    fleet.platform_fault(Fault::None);
+    fleet.platform_fault(PlatformFault::None);
     wait_for("it holds the lease again", || {
         (holds(&daemon) > 1).then_some(())
     });
@@ -91,7 +91,7 @@
 fn a_daemon_that_starts_in_an_outage_serves_by_what_its_peers_hold() {
     let mut fleet = Fleet::new("start-in-outage", 3);
     let first = fleet.serving();
-    fleet.platform_fault(Fault::Down);
+    fleet.platform_fault(PlatformFault::Down);
     let second = fleet.daemon(&[first.peers]);
     wait_for("the second serves", || {
         (second.eligible() == 1).then_some(())
--- a/shalehinge/tests/support/fabric.rs
+++ b/shalehinge/tests/support/fabric.rs
@@ -100,7 +100,7 @@
     fn take_order(&mut self, host: usize, order: Order) -> OrderReply {
         self.check_order(host, &order);
         let now = self.now;
-        let (reply, followup) = self.hosts[host].engine.take_order(now, order);
+        let (reply, followup) = self.hosts[host].engine.handle_order(now, order);
         if let Followup::Load { number, warm } = followup {
             let time = Duration::from_millis(if warm { 100 } else { 800 });
             self.hosts[host].loads_until = Some((number, now + time));
@@ -333,7 +333,7 @@
         if !self.hosts[index].runs() {
             return;
         }
-        let Some((group, others)) = self.hosts[index].engine.others() else {
+        let Some((group, others)) = self.hosts[index].engine.other_members() else {
             return;
         };
         let count = others.len() as u32;
@@ -344,7 +344,7 @@
             .count() as u32;
         let now = self.now;
         let engine = &mut self.hosts[index].engine;
-        if engine.see_others(now, group, ready, count) {
+        if engine.record_member_check(now, group, ready, count) {
             self.lose_broken(index);
         }
     }
@@ -361,7 +361,7 @@
                 let member = self.hosts.iter().find(|other| other.address == *address);
                 member.is_some_and(|member| member.is_ready_in(membership.group))
             });
-            let serves = host.engine.phase == EnginePhase::Ready && !host.engine.is_broken;
+            let serves = host.engine.phase == EnginePhase::Ready && !host.engine.has_lost_member;
             if all_ready && serves && membership.load.rank == 0 {
                 complete.push(ReplicaId {
                     failure_domain: host.domain.clone(),
--- a/standin/benches/decisions.rs
+++ b/standin/benches/decisions.rs
@@ -20,7 +20,7 @@
 use shalehinge::core::types::{Customer, HostId, ModelName, RequestId, Timestamp};
 use shalehinge::settings::router::RouterSettings;
 use standin::experiment::day::{DaySpec, ModelSpec, domain_objects};
-use standin::experiment::fleet::{FleetSpec, fleet_state, router_of};
+use standin::experiment::fleet::{FleetSpec, fleet_state, new_router};
 
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
@@ -29,16 +29,16 @@
     divan::main();
 }
 
-fn spec(replicas: usize) -> FleetSpec {
+fn fleet_spec(replicas: usize) -> FleetSpec {
     FleetSpec {
         routers: 9,
         domains: 5,
         replicas,
         settings: RouterSettings::default(),
         report_lag: std::time::Duration::ZERO,
-        tells_age: true,
-        slow: (0, 1.0),
-        lost: (0, std::time::Duration::ZERO),
+        reports_load_age: true,
+        slow_replicas: (0, 1.0),
+        lost_replicas: (0, std::time::Duration::ZERO),
         kv_total: 48_000,
     }
 }
@@ -46,16 +46,16 @@
 /// Returns a router that has reports of all its candidates: complete groups with half of their
 /// slots in use.
 fn ready_router(replicas: usize, rng: &mut SmallRng) -> Router {
-    let spec = spec(replicas);
-    let mut router = router_of(0, &spec, &fleet_state(spec.domains, replicas));
-    let mut out = Vec::new();
+    let spec = fleet_spec(replicas);
+    let mut router = new_router(0, &spec, &fleet_state(spec.domains, replicas));
+    let mut actions = Vec::new();
     for second in 1..6 {
         let now = Timestamp::from_millis(second * 1_000);
-        for wanted in router.reports_wanted(now) {
+        for report_request in router.reports_wanted(now) {
             let status = EngineStatus {
                 host: HostId::new("h"),
                 phase: EnginePhase::Ready,
-                group: wanted.group,
+                group: report_request.group,
                 held: None,
                 members_present: 8,
                 member_count: 8,
@@ -69,7 +69,14 @@
                     ..EngineLoad::default()
                 },
             };
-            router.on_report(now, now, &wanted.id, Some(&status), rng, &mut out);
+            router.on_report(
+                now,
+                now,
+                &report_request.id,
+                Some(&status),
+                rng,
+                &mut actions,
+            );
         }
     }
     router
@@ -81,13 +88,13 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut router = ready_router(replicas, &mut rng);
     let now = Timestamp::from_millis(5_500);
-    let mut number = 0;
+    let mut request_number = 0;
     bencher.bench_local(|| {
-        number += 1;
-        let mut out = Vec::new();
+        request_number += 1;
+        let mut actions = Vec::new();
         let meta = RequestMeta {
             customer: Customer::new("customer-1"),
-            fingerprint: Fingerprint(number),
+            fingerprint: Fingerprint(request_number),
             target: Target::Model(ModelName::new("model")),
             prompt_tokens: 500,
             max_output_tokens: 256,
@@ -96,55 +103,57 @@
             priority: 0,
             key: None,
             repeatable: true,
-            prefix: (0..8).map(|block| number % 100 * 100 + block).collect(),
+            prefix: (0..8)
+                .map(|block| request_number % 100 * 100 + block)
+                .collect(),
             max_attempts: None,
             is_resumable: false,
             credential: None,
         };
-        let request = RequestId(number);
-        router.submit(now, request, meta, 1, &mut rng, &mut out);
-        let sent = out.iter().find_map(|action| match action {
+        let request = RequestId(request_number);
+        router.submit(now, request, meta, 1, &mut rng, &mut actions);
+        let sent = actions.iter().find_map(|action| match action {
             RouterAction::Send(attempt) => Some(attempt.id),
             _ => None,
         });
         let attempt = sent.expect("a candidate has free capacity");
         let end = AttemptEnd::Completed { output_tokens: 100 };
-        router.on_ended(now, request, attempt, end, &mut rng, &mut out);
+        router.on_ended(now, request, attempt, end, &mut rng, &mut actions);
     });
 }
 
-fn day(hosts: usize) -> DaySpec {
-    const FABRIC: usize = 66;
+fn day_spec(hosts: usize) -> DaySpec {
+    const FABRIC_DOMAIN_SIZE: usize = 66;
     DaySpec {
-        fabrics: vec![FABRIC; hosts.div_ceil(FABRIC)],
+        fabric_domain_sizes: vec![FABRIC_DOMAIN_SIZE; hosts.div_ceil(FABRIC_DOMAIN_SIZE)],
         models: vec![
             ModelSpec {
                 name: "large",
-                hosts: 8,
+                hosts_per_replica: 8,
                 replicas: (hosts / 16) as u32,
             },
             ModelSpec {
                 name: "small",
-                hosts: 4,
+                hosts_per_replica: 4,
                 replicas: (hosts / 10) as u32,
             },
         ],
         weights: PlacementWeights::default(),
-        choice: HostChoice::BestFit,
-        failures: 0.0,
+        host_choice: HostChoice::BestFit,
+        failures_per_host_day: 0.0,
     }
 }
 
 /// Plans all groups of a failure domain that has none yet.
 #[divan::bench(args = [100, 1_000, 3_300])]
-fn plan_from_nothing(bencher: Bencher, hosts: usize) {
-    let (domain, fleet, list) = domain_objects(&day(hosts));
+fn plan_all_groups(bencher: Bencher, hosts: usize) {
+    let (domain, fleet, host_list) = domain_objects(&day_spec(hosts));
     let assignment = Assignment::default();
     bencher.bench_local(|| {
         next_steps(&PlacementContext {
             domain: &domain,
             fleet: &fleet,
-            hosts: &list,
+            hosts: &host_list,
             assignment: &assignment,
             unreachable: &BTreeSet::new(),
             lost: &BTreeMap::new(),
@@ -161,14 +170,14 @@
 /// Plans a failure domain that already matches its configuration, as the lease holder does
 /// periodically.
 #[divan::bench(args = [100, 1_000, 3_300])]
-fn plan_with_nothing_to_do(bencher: Bencher, hosts: usize) {
-    let (domain, fleet, list) = domain_objects(&day(hosts));
+fn plan_without_changes(bencher: Bencher, hosts: usize) {
+    let (domain, fleet, host_list) = domain_objects(&day_spec(hosts));
     let mut assignment = Assignment::default();
-    let context = |assignment: &Assignment| {
+    let plan = |assignment: &Assignment| {
         next_steps(&PlacementContext {
             domain: &domain,
             fleet: &fleet,
-            hosts: &list,
+            hosts: &host_list,
             assignment,
             unreachable: &BTreeSet::new(),
             lost: &BTreeMap::new(),
@@ -180,8 +189,8 @@
             needs: &NO_NEEDS,
         })
     };
-    for step in context(&assignment) {
+    for step in plan(&assignment) {
         apply_step(&mut assignment, &step);
     }
-    bencher.bench_local(|| context(&assignment));
+    bencher.bench_local(|| plan(&assignment));
 }
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -31,7 +31,7 @@
     /// Capacity of the prefix cache, in blocks of `BLOCK_TOKENS` tokens.
     pub cache_blocks: usize,
     /// Factor by which the duration of every step is multiplied.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 impl Default for EngineParameters {
@@ -44,7 +44,7 @@
             step_per_sequence: Duration::from_micros(400),
             step_per_prompt_token: Duration::from_micros(40),
             cache_blocks: 1_500,
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
@@ -67,15 +67,15 @@
 #[derive(Clone, Debug)]
 struct Sequence {
     spec: SequenceSpec,
-    prompt_left: u32,
+    remaining_prompt_tokens: u32,
     generated: u32,
 }
 
 impl Sequence {
     /// KV cache that the sequence currently uses, in tokens.
-    fn kv(&self) -> u64 {
-        let all = u64::from(self.spec.prompt_tokens) + u64::from(self.generated);
-        all.saturating_sub(u64::from(self.prompt_left))
+    fn kv_tokens(&self) -> u64 {
+        let total = u64::from(self.spec.prompt_tokens) + u64::from(self.generated);
+        total.saturating_sub(u64::from(self.remaining_prompt_tokens))
     }
 }
 
@@ -107,9 +107,9 @@
     waiting: VecDeque<Sequence>,
     cache: PrefixCache,
     /// Total number of prompt blocks found in the prefix cache.
-    pub hit_blocks: u64,
+    pub cache_hit_blocks: u64,
     /// Total number of prompt blocks looked up in the prefix cache.
-    pub asked_blocks: u64,
+    pub cache_lookup_blocks: u64,
     /// Total number of sequences preempted because the KV cache was full.
     pub preemptions: u64,
 }
@@ -122,30 +122,30 @@
             parameters,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            hit_blocks: 0,
-            asked_blocks: 0,
+            cache_hit_blocks: 0,
+            cache_lookup_blocks: 0,
             preemptions: 0,
         }
     }
 
     /// Sets the factor by which the duration of every further step is multiplied.
-    pub fn set_slowness(&mut self, slowness: f64) {
-        self.parameters.slowness = slowness;
+    pub fn set_slowdown(&mut self, slowdown: f64) {
+        self.parameters.slowdown = slowdown;
     }
 
     /// Queues a sequence behind those of the same or a higher priority.
     pub fn submit(&mut self, spec: SequenceSpec) {
         let sequence = Sequence {
-            prompt_left: spec.prompt_tokens,
+            remaining_prompt_tokens: spec.prompt_tokens,
             generated: 0,
             spec,
         };
-        let place = self
+        let position = self
             .waiting
             .iter()
             .position(|other| other.spec.priority < sequence.spec.priority)
             .unwrap_or(self.waiting.len());
-        self.waiting.insert(place, sequence);
+        self.waiting.insert(position, sequence);
     }
 
     /// Cancels a sequence, whether it is waiting or running.
@@ -181,7 +181,7 @@
     }
 
     fn kv_used(&self) -> u64 {
-        self.running.iter().map(Sequence::kv).sum()
+        self.running.iter().map(Sequence::kv_tokens).sum()
     }
 
     /// Runs one step. Returns `None` if no sequence is running or waiting.
@@ -192,16 +192,16 @@
         }
         let prompt_tokens = self.prefill();
         let tokens = self.decode();
-        self.make_room();
+        self.preempt_over_capacity();
         let sequences = self.running.len() as u32;
-        let time = self.parameters.step_base
+        let duration = self.parameters.step_base
             + self.parameters.step_per_sequence * sequences
             + self.parameters.step_per_prompt_token * prompt_tokens;
-        let done: Vec<u64> = tokens.iter().filter(|t| t.is_last).map(|t| t.id).collect();
+        let completed: Vec<u64> = tokens.iter().filter(|t| t.is_last).map(|t| t.id).collect();
         self.running
-            .retain(|sequence| !done.contains(&sequence.spec.id));
+            .retain(|sequence| !completed.contains(&sequence.spec.id));
         Some(Step {
-            duration: time.mul_f64(self.parameters.slowness),
+            duration: duration.mul_f64(self.parameters.slowdown),
             tokens,
         })
     }
@@ -213,13 +213,13 @@
             let Some(next) = self.waiting.front() else {
                 return;
             };
-            let needed = u64::from(next.spec.prompt_tokens) + u64::from(next.generated);
+            let required = u64::from(next.spec.prompt_tokens) + u64::from(next.generated);
             let committed: u64 = self
                 .running
                 .iter()
                 .map(|s| u64::from(s.spec.prompt_tokens) + u64::from(s.generated))
                 .sum();
-            let fits = committed + needed <= self.parameters.kv_total;
+            let fits = committed + required <= self.parameters.kv_total;
             if !fits && !self.running.is_empty() {
                 return;
             }
@@ -234,30 +234,32 @@
     /// Skips the prefill of the prompt blocks that are cached, and caches the others.
     fn use_cache(&mut self, sequence: &mut Sequence) {
         let chain = &sequence.spec.prefix;
-        let held = self.cache.matching_blocks(chain);
-        self.asked_blocks += chain.len() as u64;
-        self.hit_blocks += held as u64;
-        let held_tokens = held as u32 * BLOCK_TOKENS;
-        sequence.prompt_left = sequence.prompt_left.saturating_sub(held_tokens);
+        let cached_blocks = self.cache.matching_blocks(chain);
+        self.cache_lookup_blocks += chain.len() as u64;
+        self.cache_hit_blocks += cached_blocks as u64;
+        let cached_tokens = cached_blocks as u32 * BLOCK_TOKENS;
+        sequence.remaining_prompt_tokens = sequence
+            .remaining_prompt_tokens
+            .saturating_sub(cached_tokens);
         self.cache.insert(chain);
     }
 
     /// Prefills chunks of prompts in the order of admission. Returns the number of prompt tokens.
     fn prefill(&mut self) -> u32 {
-        let mut left = self.parameters.prefill_chunk;
+        let mut budget = self.parameters.prefill_chunk;
         for sequence in &mut self.running {
-            let piece = sequence.prompt_left.min(left);
-            sequence.prompt_left -= piece;
-            left -= piece;
+            let chunk = sequence.remaining_prompt_tokens.min(budget);
+            sequence.remaining_prompt_tokens -= chunk;
+            budget -= chunk;
         }
-        self.parameters.prefill_chunk - left
+        self.parameters.prefill_chunk - budget
     }
 
     /// Generates one token for each sequence whose prefill is complete.
     fn decode(&mut self) -> Vec<Token> {
         let mut tokens = Vec::new();
         for sequence in &mut self.running {
-            if sequence.prompt_left > 0 {
+            if sequence.remaining_prompt_tokens > 0 {
                 continue;
             }
             sequence.generated += 1;
@@ -271,13 +273,13 @@
     }
 
     /// Preempts the sequences admitted last while KV cache usage exceeds its capacity.
-    fn make_room(&mut self) {
+    fn preempt_over_capacity(&mut self) {
         while self.kv_used() > self.parameters.kv_total && self.running.len() > 1 {
             let Some(mut youngest) = self.running.pop() else {
                 return;
             };
             self.preemptions += 1;
-            youngest.prompt_left = youngest.spec.prompt_tokens + youngest.generated;
+            youngest.remaining_prompt_tokens = youngest.spec.prompt_tokens + youngest.generated;
             self.waiting.push_front(youngest);
         }
     }
@@ -316,8 +318,8 @@
     fn insert(&mut self, chain: &PrefixChain) {
         for hash in chain {
             self.clock += 1;
-            if let Some(before) = self.used_at.insert(*hash, self.clock) {
-                self.by_use.remove(&before);
+            if let Some(previous) = self.used_at.insert(*hash, self.clock) {
+                self.by_use.remove(&previous);
             }
             self.by_use.insert(self.clock, *hash);
         }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -30,14 +30,14 @@
 use super::faults::EngineFault;
 use super::model::{EngineParameters, SequenceSpec, Token};
 use super::state::{Followup, HostEngine};
-use crate::server::{announce, read_json, serve, write_json};
+use crate::server::{print_listen_address, read_json, serve, write_json};
 
 /// Interval at which rank 0 checks the status of the other members.
-const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Timeout of a status request to another member.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+const MEMBER_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of tokens buffered for a slow reader; beyond it, the sequence is cancelled.
-const TOKENS_WAITING: usize = 4_096;
+const MAX_BUFFERED_TOKENS: usize = 4_096;
 
 /// run stand-in engines, one per host
 #[derive(FromArgs, Debug, Clone)]
@@ -100,7 +100,7 @@
 pub fn run(arguments: &EngineArguments) -> miette::Result<()> {
     let engines = spawn(arguments)?;
     for engine in &engines {
-        announce(&engine.name, engine.address);
+        print_listen_address(&engine.name, engine.address);
     }
     for engine in engines {
         engine.handle.block();
@@ -126,8 +126,8 @@
 pub fn spawn(arguments: &EngineArguments) -> miette::Result<Vec<RunningEngine>> {
     let mut engines = Vec::new();
     for index in 0..arguments.count {
-        let is_only = arguments.count == 1;
-        let (name, listen) = if is_only {
+        let is_single = arguments.count == 1;
+        let (name, listen) = if is_single {
             (arguments.host.clone(), arguments.listen)
         } else {
             let any_port = SocketAddr::new(arguments.listen.ip(), 0);
@@ -136,7 +136,7 @@
         let engine = Engine::new(&name, arguments);
         let (address, handle) = serve(listen, engine.handler())?;
         smol::spawn(engine.clone().decode_loop()).detach();
-        smol::spawn(engine.clone().check_loop()).detach();
+        smol::spawn(engine.clone().member_check_loop()).detach();
         smol::block_on(register(&name, address, arguments))?;
         engines.push(RunningEngine {
             name,
@@ -183,7 +183,7 @@
     /// Token channels of the responses in progress, by sequence identifier.
     streams: Arc<Mutex<HashMap<u64, Sender<Token>>>>,
     /// Wakes the decode loop when a sequence is submitted to an idle batch.
-    work: (Sender<()>, Receiver<()>),
+    work_signal: (Sender<()>, Receiver<()>),
     next_id: Arc<std::sync::atomic::AtomicU64>,
     /// Time to load weights from the weight store.
     load_time: Duration,
@@ -219,7 +219,7 @@
         Self {
             state: Arc::new(Mutex::new(engine)),
             streams: Arc::default(),
-            work: async_channel::bounded(1),
+            work_signal: async_channel::bounded(1),
             next_id: Arc::default(),
             load_time: Duration::from_millis(arguments.load_ms),
             started: Instant::now(),
@@ -232,27 +232,27 @@
         let orders = self.clone();
         let chat = self.clone();
         let fault = self.clone();
-        let slow = self.clone();
+        let slowdown = self.clone();
         Router::new()
             .get(STATUS_PATH, move |conn: Conn| {
                 let engine = status.clone();
-                async move { engine.on_status(conn) }
+                async move { engine.handle_status(conn) }
             })
             .post(ORDERS_PATH, move |conn: Conn| {
                 let engine = orders.clone();
-                async move { engine.on_order(conn).await }
+                async move { engine.handle_order(conn).await }
             })
             .post("/v1/chat/completions", move |conn: Conn| {
                 let engine = chat.clone();
-                async move { engine.on_chat(conn).await }
+                async move { engine.handle_chat(conn).await }
             })
             .put("/admin/fault", move |conn: Conn| {
                 let engine = fault.clone();
-                async move { engine.on_fault(conn).await }
+                async move { engine.handle_fault(conn).await }
             })
             .put("/admin/slowness", move |conn: Conn| {
-                let engine = slow.clone();
-                async move { engine.on_slowness(conn).await }
+                let engine = slowdown.clone();
+                async move { engine.handle_slowdown(conn).await }
             })
     }
 
@@ -261,12 +261,12 @@
         self.started.elapsed()
     }
 
-    fn on_status(&self, conn: Conn) -> Conn {
+    fn handle_status(&self, conn: Conn) -> Conn {
         let status = lock(&self.state).status(self.now());
         write_json(conn, Status::Ok, &status)
     }
 
-    async fn on_fault(&self, mut conn: Conn) -> Conn {
+    async fn handle_fault(&self, mut conn: Conn) -> Conn {
         let Some(fault) = read_json::<EngineFault>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
@@ -274,49 +274,49 @@
         conn.with_status(Status::NoContent).halt()
     }
 
-    async fn on_slowness(&self, mut conn: Conn) -> Conn {
-        let Some(slowness) = read_json::<f64>(&mut conn).await else {
+    async fn handle_slowdown(&self, mut conn: Conn) -> Conn {
+        let Some(slowdown) = read_json::<f64>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        lock(&self.state).model.set_slowness(slowness);
+        lock(&self.state).model.set_slowdown(slowdown);
         conn.with_status(Status::NoContent).halt()
     }
 
-    async fn on_order(&self, mut conn: Conn) -> Conn {
+    async fn handle_order(&self, mut conn: Conn) -> Conn {
         let Some(order) = read_json::<Order>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        let (reply, followup) = lock(&self.state).take_order(self.now(), order);
+        let (reply, followup) = lock(&self.state).handle_order(self.now(), order);
         if let Followup::Load { number, warm } = followup {
             let engine = self.clone();
             smol::spawn(async move {
-                let time = if warm {
+                let duration = if warm {
                     engine.load_time / 10
                 } else {
                     engine.load_time
                 };
-                Timer::after(time).await;
+                Timer::after(duration).await;
                 lock(&engine.state).finish_load(number);
             })
             .detach();
         }
-        self.drop_broken_streams();
+        self.close_streams_if_idle();
         write_json(conn, Status::Ok, &reply)
     }
 
     /// Closes all token channels if the batch is idle, so that the responses to cancelled
     /// sequences end without the `[DONE]` event.
-    fn drop_broken_streams(&self) {
+    fn close_streams_if_idle(&self) {
         if lock(&self.state).model.is_idle() {
             lock(&self.streams).clear();
         }
     }
 
     /// At rank 0, checks the other members of the group periodically.
-    async fn check_loop(self) {
+    async fn member_check_loop(self) {
         loop {
-            Timer::after(CHECK_INTERVAL).await;
-            let others = lock(&self.state).others();
+            Timer::after(MEMBER_CHECK_INTERVAL).await;
+            let others = lock(&self.state).other_members();
             let Some((group, others)) = others.filter(|(_, others)| !others.is_empty()) else {
                 continue;
             };
@@ -324,11 +324,11 @@
             let now = self.now();
             let checks = others.into_iter().map(|address| {
                 let conn = self.client.get(url(address, STATUS_PATH));
-                is_ready(conn, group)
+                is_member_ready(conn, group)
             });
             let ready = futures_util::future::join_all(checks).await;
             let ready = ready.into_iter().filter(|ready| *ready).count() as u32;
-            if lock(&self.state).see_others(now, group, ready, count) {
+            if lock(&self.state).record_member_check(now, group, ready, count) {
                 lock(&self.streams).clear();
             }
         }
@@ -340,7 +340,7 @@
             let step = lock(&self.state).model.step();
             let Some(step) = step else {
                 lock(&self.state).finish_drain();
-                let _ = self.work.1.recv().await;
+                let _ = self.work_signal.1.recv().await;
                 continue;
             };
             Timer::after(step.duration).await;
@@ -349,8 +349,8 @@
                 let Some(stream) = streams.get(&token.id) else {
                     continue;
                 };
-                let is_gone = stream.try_send(token).is_err();
-                if is_gone {
+                let is_undeliverable = stream.try_send(token).is_err();
+                if is_undeliverable {
                     streams.remove(&token.id);
                     lock(&self.state).model.cancel(token.id);
                 } else if token.is_last {
@@ -360,7 +360,7 @@
         }
     }
 
-    async fn on_chat(&self, mut conn: Conn) -> Conn {
+    async fn handle_chat(&self, mut conn: Conn) -> Conn {
         let header = |conn: &Conn, name: &'static str| {
             conn.request_headers().get_str(name).map(str::to_owned)
         };
@@ -373,7 +373,7 @@
         };
         let fault = lock(&self.state).fault;
         match fault {
-            EngineFault::Silent => say_nothing().await,
+            EngineFault::Silent => never_respond().await,
             EngineFault::Failing => {
                 return conn
                     .with_status(Status::InternalServerError)
@@ -387,20 +387,20 @@
             }
             EngineFault::AsksForCooldown { tenths } => {
                 let seconds = format!("{}.{}", tenths / 10, tenths % 10);
-                return refuse(conn, attempt)
+                return respond_not_run(conn, attempt)
                     .with_response_header(KnownHeaderName::RetryAfter, seconds);
             }
             _ => {}
         }
-        let Some((id, tokens)) = self.begin(group, &request) else {
-            return refuse(conn, attempt);
+        let Some((id, tokens)) = self.submit_sequence(group, &request) else {
+            return respond_not_run(conn, attempt);
         };
-        let said = if fault == EngineFault::OtherAttempt {
+        let response_attempt = if fault == EngineFault::OtherAttempt {
             "0000000000000000-0".to_owned()
         } else {
             attempt
         };
-        let mut conn = conn.with_response_header(ATTEMPT_HEADER, said);
+        let mut conn = conn.with_response_header(ATTEMPT_HEADER, response_attempt);
         if let EngineFault::NamesLimit { tenths_a_second } = fault {
             let limit = format!("{}.{}", tenths_a_second / 10, tenths_a_second % 10);
             conn = conn.with_response_header(LIMIT_HEADER, limit);
@@ -409,13 +409,13 @@
             conn = conn.with_response_header(LEAVING_HEADER, "1");
         }
         if request.stream {
-            return stream_answer(conn, id, tokens, fault);
+            return respond_streaming(conn, id, tokens, fault);
         }
-        whole_answer(conn, id, tokens).await
+        respond_complete(conn, id, tokens).await
     }
 
     /// Submits a sequence, or returns `None` if the group is incomplete or not the requested one.
-    fn begin(
+    fn submit_sequence(
         &self,
         group: Option<GroupNumber>,
         request: &ChatRequest,
@@ -424,7 +424,7 @@
         let id = self
             .next_id
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let (sender, tokens) = async_channel::bounded(TOKENS_WAITING);
+        let (sender, tokens) = async_channel::bounded(MAX_BUFFERED_TOKENS);
         let mut state = lock(&self.state);
         if !state.can_serve(self.now(), group) {
             return None;
@@ -437,14 +437,14 @@
             prefix: prefix::chain_of(&prompt),
             priority: 0,
         });
-        let _ = self.work.0.try_send(());
+        let _ = self.work_signal.0.try_send(());
         Some((id, tokens))
     }
 }
 
 /// Requests the status of another member and returns whether it is ready in this group.
-async fn is_ready(conn: trillium_client::Conn, group: GroupNumber) -> bool {
-    let Some((200, body)) = exchange(conn, CHECK_TIMEOUT).await else {
+async fn is_member_ready(conn: trillium_client::Conn, group: GroupNumber) -> bool {
+    let Some((200, body)) = exchange(conn, MEMBER_CHECK_TIMEOUT).await else {
         return false;
     };
     let status: Option<EngineStatus> = serde_json::from_slice(&body).ok();
@@ -455,7 +455,7 @@
 }
 
 /// Answers a request that was not run.
-fn refuse(conn: Conn, attempt: String) -> Conn {
+fn respond_not_run(conn: Conn, attempt: String) -> Conn {
     conn.with_status(Status::ServiceUnavailable)
         .with_response_header(ATTEMPT_HEADER, attempt)
         .with_response_header(NOT_RUN_HEADER, "1")
@@ -463,16 +463,16 @@
 }
 
 /// Answers with the complete output once its last token is generated.
-async fn whole_answer(conn: Conn, id: u64, tokens: Receiver<Token>) -> Conn {
+async fn respond_complete(conn: Conn, id: u64, tokens: Receiver<Token>) -> Conn {
     let mut text = String::new();
     let mut count = 0;
-    let mut is_whole = false;
+    let mut is_complete = false;
     while let Ok(token) = tokens.recv().await {
         count = token.number;
         text.push_str(&format!("t{} ", token.number));
-        is_whole = token.is_last;
+        is_complete = token.is_last;
     }
-    if !is_whole {
+    if !is_complete {
         // The sequence was cancelled: an error, so that the partial output isn't mistaken for a
         // complete answer.
         return conn.with_status(Status::InternalServerError).halt();
@@ -493,15 +493,15 @@
 /// Keeps a connection open without answering. The timer wakes the task periodically: the runtime
 /// sometimes drops a task that nothing can wake, which closes its connection (26 of 1,200
 /// connections held without the timer).
-async fn say_nothing() {
-    const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+async fn never_respond() {
+    const WAKE_INTERVAL: Duration = Duration::from_secs(1);
     loop {
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(WAKE_INTERVAL).await;
     }
 }
 
 /// Answers with a stream of server-sent events, one per token.
-fn stream_answer(conn: Conn, id: u64, tokens: Receiver<Token>, fault: EngineFault) -> Conn {
+fn respond_streaming(conn: Conn, id: u64, tokens: Receiver<Token>, fault: EngineFault) -> Conn {
     let events = stream::unfold(Some(tokens), move |tokens| async move {
         let tokens = tokens?;
         let token = tokens.recv().await.ok()?;
--- a/standin/src/engine/state.rs
+++ b/standin/src/engine/state.rs
@@ -29,9 +29,9 @@
     /// only, and left at 0 in a group of one host.
     pub members_present: u32,
     /// When rank 0 last checked the other members, by the host's monotonic clock.
-    looked_at: Duration,
+    members_checked_at: Duration,
     /// Whether a member was lost after the group was complete; the group can't serve any more.
-    pub is_broken: bool,
+    pub has_lost_member: bool,
     /// Weights in memory.
     held: Option<HeldModel>,
     /// Fence of the last accepted order.
@@ -75,8 +75,8 @@
             phase: EnginePhase::Idle,
             membership: None,
             members_present: 0,
-            looked_at: Duration::ZERO,
-            is_broken: false,
+            members_checked_at: Duration::ZERO,
+            has_lost_member: false,
             held: None,
             fence: Fence::default(),
             load_number: 0,
@@ -85,7 +85,7 @@
 
     /// Executes an order, or refuses it if fences are checked and its fence is too low. `now` is
     /// the time on the host's monotonic clock.
-    pub fn take_order(&mut self, now: Duration, order: Order) -> (OrderReply, Followup) {
+    pub fn handle_order(&mut self, now: Duration, order: Order) -> (OrderReply, Followup) {
         let fence = order.fence();
         if self.checks_fences && fence < self.fence {
             return (self.reply(now, false), Followup::None);
@@ -111,18 +111,18 @@
     }
 
     fn load(&mut self, group: GroupNumber, load: LoadCommand) -> Followup {
-        let wanted = GroupMembership { group, load };
-        if self.membership.as_ref() == Some(&wanted) {
+        let ordered = GroupMembership { group, load };
+        if self.membership.as_ref() == Some(&ordered) {
             return Followup::None;
         }
-        self.leave();
+        self.leave_group();
         let held = HeldModel {
-            model: wanted.load.model.clone(),
-            version: wanted.load.version.clone(),
+            model: ordered.load.model.clone(),
+            version: ordered.load.version.clone(),
         };
         let warm = self.held.as_ref() == Some(&held);
         self.held = Some(held);
-        self.membership = Some(wanted);
+        self.membership = Some(ordered);
         self.phase = EnginePhase::Loading;
         self.load_number += 1;
         Followup::Load {
@@ -140,15 +140,15 @@
             self.phase = EnginePhase::Draining;
             return;
         }
-        self.leave();
+        self.leave_group();
     }
 
     /// Leaves the group and cancels all sequences.
-    pub fn leave(&mut self) {
+    pub fn leave_group(&mut self) {
         self.membership = None;
         self.phase = EnginePhase::Idle;
         self.members_present = 0;
-        self.is_broken = false;
+        self.has_lost_member = false;
         self.model.reset();
     }
 
@@ -163,23 +163,23 @@
     /// Leaves the group if the engine is draining and idle.
     pub fn finish_drain(&mut self) {
         if self.phase == EnginePhase::Draining && self.model.is_idle() {
-            self.leave();
+            self.leave_group();
         }
     }
 
     /// Returns the group and the addresses of its other members, if this host is rank 0.
-    pub fn others(&self) -> Option<(GroupNumber, Vec<Address>)> {
+    pub fn other_members(&self) -> Option<(GroupNumber, Vec<Address>)> {
         let membership = self.membership.as_ref()?;
         if membership.load.rank != 0 {
             return None;
         }
-        let others = membership.load.members.iter().skip(1).copied().collect();
-        Some((membership.group, others))
+        let other_members = membership.load.members.iter().skip(1).copied().collect();
+        Some((membership.group, other_members))
     }
 
     /// Records that a check by rank 0 found `ready` of the `count` other members ready. Returns
     /// whether a member of a complete group was lost; all sequences are then cancelled.
-    pub fn see_others(
+    pub fn record_member_check(
         &mut self,
         now: Duration,
         group: GroupNumber,
@@ -190,10 +190,10 @@
         if !is_current || self.phase == EnginePhase::Loading {
             return false;
         }
-        self.looked_at = now;
+        self.members_checked_at = now;
         let was_complete = self.members_present == count + 1;
         if was_complete && ready < count {
-            self.is_broken = true;
+            self.has_lost_member = true;
             self.model.reset();
         }
         self.members_present = ready + 1;
@@ -215,7 +215,7 @@
         let is_rank_zero = membership.is_some_and(|m| m.load.rank == 0);
         let member_count = membership.map_or(0, |m| m.load.members.len() as u32);
         let ready = self.phase == EnginePhase::Ready || self.phase == EnginePhase::Draining;
-        let present = if !ready || self.is_broken {
+        let present = if !ready || self.has_lost_member {
             0
         } else if is_rank_zero && member_count == 1 {
             1
@@ -230,7 +230,7 @@
             members_present: present,
             member_count,
             members_age_ms: if is_rank_zero && member_count > 1 {
-                now.saturating_sub(self.looked_at).as_millis() as u64
+                now.saturating_sub(self.members_checked_at).as_millis() as u64
             } else {
                 0
             },
--- a/standin/src/experiment/day.rs
+++ b/standin/src/experiment/day.rs
@@ -23,17 +23,17 @@
 };
 
 /// Time from the loss of a host until its group is dissolved and released, in seconds.
-const NOTICE_SECONDS: f64 = 2.0;
+const LOSS_DETECTION_SECONDS: f64 = 2.0;
 /// Time that the weight store takes to load one host, in seconds.
-const STORE_SECONDS_PER_HOST: f64 = 4.0;
+const LOAD_SECONDS_PER_HOST: f64 = 4.0;
 /// Time from the last load of a group until its replica serves, in seconds.
-const START_SECONDS: f64 = 30.0;
+const STARTUP_SECONDS: f64 = 30.0;
 /// Duration of the simulation, in seconds.
-const DAY: f64 = 86_400.0;
+const DAY_SECONDS: f64 = 86_400.0;
 /// Time until a failed host returns in hours, as a half-open range.
 const REPAIR_HOURS: (f64, f64) = (2.0, 12.0);
 /// Number of accelerators per host.
-const ACCELERATORS: u32 = 8;
+const ACCELERATORS_PER_HOST: u32 = 8;
 
 /// A model to place.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
     /// Name of the model.
     pub name: &'static str,
     /// Number of hosts per replica.
-    pub hosts: u32,
+    pub hosts_per_replica: u32,
     /// Number of replicas to run.
     pub replicas: u32,
 }
@@ -50,15 +50,15 @@
 #[derive(Clone, Debug)]
 pub struct DaySpec {
     /// Number of hosts in each fabric domain.
-    pub fabrics: Vec<usize>,
+    pub fabric_domain_sizes: Vec<usize>,
     /// Models to place.
     pub models: Vec<ModelSpec>,
     /// Placement weights of the fleet.
     pub weights: PlacementWeights,
     /// Policy by which the planner chooses hosts.
-    pub choice: HostChoice,
+    pub host_choice: HostChoice,
     /// Mean number of failures per host and day.
-    pub failures: f64,
+    pub failures_per_host_day: f64,
 }
 
 /// Results of a simulation.
@@ -68,29 +68,29 @@
     pub downtime_hours: f64,
     /// Time during which accelerators were idle and no group could form on them, in accelerator
     /// hours.
-    pub stranded_hours: f64,
+    pub stranded_accelerator_hours: f64,
     /// Lower bound on the downtime under any placement, given the live hosts of the fabric
     /// domains, in replica hours.
-    pub bound_hours: f64,
+    pub unavoidable_downtime_hours: f64,
     /// Number of host loads from the weight store.
-    pub loads: u32,
+    pub host_loads: u32,
 }
 
 /// Event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
-enum Happening {
+enum Event {
     /// A host fails.
-    Fails(HostId),
+    HostFailed(HostId),
     /// A failed host returns.
-    Returns(HostId),
+    HostReturned(HostId),
     /// The loss of a member of a group is detected.
-    Noticed(GroupNumber),
+    LossDetected(GroupNumber),
     /// A group has loaded and starts to serve.
-    Ready(GroupNumber),
+    GroupReady(GroupNumber),
 }
 
 /// State of a simulation. Times are in seconds since its start.
-struct Day<'a> {
+struct DaySimulation<'a> {
     spec: &'a DaySpec,
     domain: FailureDomain,
     fleet: FleetConfig,
@@ -98,14 +98,14 @@
     hosts: HostList,
     assignment: Assignment,
     /// Hosts that have failed and not returned yet.
-    down: BTreeSet<HostId>,
+    failed_hosts: BTreeSet<HostId>,
     /// Groups whose loss was detected and that aren't dissolved yet.
-    lost: BTreeMap<GroupNumber, Option<HostId>>,
+    lost_groups: BTreeMap<GroupNumber, Option<HostId>>,
     held: HeldWeights,
     /// Pending events with their times, in no order.
-    agenda: Vec<(f64, Happening)>,
+    pending_events: Vec<(f64, Event)>,
     /// When the weight store has finished all loads started so far.
-    store_free_at: f64,
+    weight_store_free_at: f64,
     now: f64,
     result: DayResult,
     rng: SmallRng,
@@ -113,19 +113,19 @@
 
 /// Simulates a day with this seed. All groups serve at its start.
 pub fn run(spec: &DaySpec, seed: u64) -> DayResult {
-    let mut day = Day::new(spec, seed);
-    day.form_everything();
-    day.plan_failures();
-    while let Some((at, happening)) = day.next() {
-        day.pass(at.min(DAY));
-        if at >= DAY {
+    let mut simulation = DaySimulation::new(spec, seed);
+    simulation.form_all_groups();
+    simulation.schedule_failures();
+    while let Some((at, event)) = simulation.next_event() {
+        simulation.advance_to(at.min(DAY_SECONDS));
+        if at >= DAY_SECONDS {
             break;
         }
-        day.happen(happening);
-        day.replan();
+        simulation.handle_event(event);
+        simulation.replan();
     }
-    day.pass(DAY);
-    day.result
+    simulation.advance_to(DAY_SECONDS);
+    simulation.result
 }
 
 /// Returns the name, the configuration and the hosts of the failure domain of a simulation.
@@ -133,13 +133,13 @@
     let domain = FailureDomain::new("domain");
     let mut hosts = HostList::default();
     let mut number: u16 = 0;
-    for (fabric, count) in spec.fabrics.iter().enumerate() {
+    for (fabric, count) in spec.fabric_domain_sizes.iter().enumerate() {
         for _ in 0..*count {
             let record = HostRecord {
                 address: ([10, 0, 0, 1], number).into(),
                 failure_domain: domain.clone(),
                 fabric_domain: FabricDomain::new(&format!("fabric-{fabric:03}")),
-                accelerators: ACCELERATORS,
+                accelerators: ACCELERATORS_PER_HOST,
                 state: HostState::Live,
                 service: None,
                 slots: None,
@@ -168,7 +168,7 @@
         let intent = ModelIntent {
             owner: owner.clone(),
             version: ModelVersion::new("v1"),
-            hosts_per_replica: model.hosts,
+            hosts_per_replica: model.hosts_per_replica,
             replicas: BTreeMap::from([(domain.clone(), model.replicas)]),
         };
         fleet.models.insert(ModelName::new(model.name), intent);
@@ -176,7 +176,7 @@
     (domain, fleet, hosts)
 }
 
-impl<'a> Day<'a> {
+impl<'a> DaySimulation<'a> {
     fn new(spec: &'a DaySpec, seed: u64) -> Self {
         let (domain, fleet, hosts) = domain_objects(spec);
         Self {
@@ -185,11 +185,11 @@
             fleet,
             hosts,
             assignment: Assignment::default(),
-            down: BTreeSet::new(),
-            lost: BTreeMap::new(),
+            failed_hosts: BTreeSet::new(),
+            lost_groups: BTreeMap::new(),
             held: HeldWeights::new(),
-            agenda: Vec::new(),
-            store_free_at: 0.0,
+            pending_events: Vec::new(),
+            weight_store_free_at: 0.0,
             now: 0.0,
             result: DayResult::default(),
             rng: SmallRng::seed_from_u64(seed),
@@ -197,107 +197,122 @@
     }
 
     /// Forms all groups before the start of the day, at no cost.
-    fn form_everything(&mut self) {
+    fn form_all_groups(&mut self) {
         self.replan();
-        self.agenda.clear();
+        self.pending_events.clear();
         for group in self.assignment.groups.values_mut() {
             group.phase = GroupPhase::Serving;
         }
-        self.store_free_at = 0.0;
+        self.weight_store_free_at = 0.0;
         self.result = DayResult::default();
     }
 
     /// Schedules the failures and returns of all hosts.
-    fn plan_failures(&mut self) {
+    fn schedule_failures(&mut self) {
         let names: Vec<HostId> = self.hosts.hosts.keys().cloned().collect();
         for host in names {
             let mut at = 0.0;
             loop {
-                at += -(1.0 - self.rng.random::<f64>()).ln() * DAY / self.spec.failures;
-                if at >= DAY {
+                at += -(1.0 - self.rng.random::<f64>()).ln() * DAY_SECONDS
+                    / self.spec.failures_per_host_day;
+                if at >= DAY_SECONDS {
                     break;
                 }
-                self.agenda.push((at, Happening::Fails(host.clone())));
+                self.pending_events
+                    .push((at, Event::HostFailed(host.clone())));
                 at += self.rng.random_range(REPAIR_HOURS.0..REPAIR_HOURS.1) * 3_600.0;
-                self.agenda.push((at, Happening::Returns(host.clone())));
+                self.pending_events
+                    .push((at, Event::HostReturned(host.clone())));
             }
         }
     }
 
     /// Removes and returns the earliest event.
-    fn next(&mut self) -> Option<(f64, Happening)> {
+    fn next_event(&mut self) -> Option<(f64, Event)> {
         let (index, _) = self
-            .agenda
+            .pending_events
             .iter()
             .enumerate()
             .min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0))?;
-        Some(self.agenda.swap_remove(index))
+        Some(self.pending_events.swap_remove(index))
     }
 
     /// Advances the time to `at` and adds the costs of the time in between to the result.
-    fn pass(&mut self, at: f64) {
+    fn advance_to(&mut self, at: f64) {
         let hours = (at - self.now).max(0.0) / 3_600.0;
         self.now = at;
         if hours == 0.0 {
             return;
         }
-        self.result.downtime_hours += hours * f64::from(self.missing());
-        self.result.bound_hours += hours * f64::from(self.bound());
+        self.result.downtime_hours += hours * f64::from(self.missing_replicas());
+        self.result.unavoidable_downtime_hours += hours * f64::from(self.min_missing_replicas());
         let stranded = stranded_accelerators(
             &self.live_hosts(),
             &self.fleet,
             &self.domain,
             &self.assignment,
         );
-        self.result.stranded_hours += hours * f64::from(stranded);
+        self.result.stranded_accelerator_hours += hours * f64::from(stranded);
     }
 
     /// Returns the host list without the failed hosts.
     fn live_hosts(&self) -> HostList {
         let mut live = self.hosts.clone();
-        live.hosts.retain(|host, _| !self.down.contains(host));
+        live.hosts
+            .retain(|host, _| !self.failed_hosts.contains(host));
         live
     }
 
-    fn wanted(&self) -> u32 {
+    fn configured_replicas(&self) -> u32 {
         self.spec.models.iter().map(|model| model.replicas).sum()
     }
 
     /// Number of configured replicas that don't serve.
-    fn missing(&self) -> u32 {
+    fn missing_replicas(&self) -> u32 {
         let serving = self
             .assignment
             .groups
             .iter()
             .filter(|(number, group)| {
-                let is_whole = group.members.iter().all(|m| !self.down.contains(&m.host));
-                group.phase == GroupPhase::Serving && is_whole && !self.lost.contains_key(number)
+                let is_complete = group
+                    .members
+                    .iter()
+                    .all(|m| !self.failed_hosts.contains(&m.host));
+                group.phase == GroupPhase::Serving
+                    && is_complete
+                    && !self.lost_groups.contains_key(number)
             })
             .count() as u32;
-        self.wanted().saturating_sub(serving)
+        self.configured_replicas().saturating_sub(serving)
     }
 
     /// Lower bound on the number of missing replicas under any choice of hosts. It is exact if
     /// all replicas have the same number of hosts; otherwise every replica counts as one of the
     /// smallest size.
-    fn bound(&self) -> u32 {
-        let mut live: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
+    fn min_missing_replicas(&self) -> u32 {
+        let mut live_hosts: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
         for (id, host) in &self.hosts.hosts {
-            if !self.down.contains(id) {
-                *live.entry(&host.fabric_domain).or_default() += 1;
+            if !self.failed_hosts.contains(id) {
+                *live_hosts.entry(&host.fabric_domain).or_default() += 1;
             }
         }
-        let smallest = self.spec.models.iter().map(|m| m.hosts as usize).min();
-        let most: usize = live
+        let smallest = self
+            .spec
+            .models
+            .iter()
+            .map(|m| m.hosts_per_replica as usize)
+            .min();
+        let max_replicas: usize = live_hosts
             .values()
             .map(|count| count / smallest.unwrap_or(1))
             .sum();
-        self.wanted().saturating_sub(most as u32)
+        self.configured_replicas()
+            .saturating_sub(max_replicas as u32)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Fails(host) => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::HostFailed(host) => {
                 let group = self
                     .assignment
                     .groups
@@ -305,20 +320,20 @@
                     .find(|(_, group)| group.contains(&host))
                     .map(|(number, _)| *number);
                 self.held.remove(&host);
-                self.down.insert(host);
+                self.failed_hosts.insert(host);
                 if let Some(group) = group {
-                    let at = self.now + NOTICE_SECONDS;
-                    self.agenda.push((at, Happening::Noticed(group)));
+                    let at = self.now + LOSS_DETECTION_SECONDS;
+                    self.pending_events.push((at, Event::LossDetected(group)));
                 }
             }
-            Happening::Returns(host) => {
+            Event::HostReturned(host) => {
                 self.assignment.releasing.remove(&host);
-                self.down.remove(&host);
+                self.failed_hosts.remove(&host);
             }
-            Happening::Noticed(group) => {
-                self.lost.insert(group, None);
+            Event::LossDetected(group) => {
+                self.lost_groups.insert(group, None);
             }
-            Happening::Ready(number) => {
+            Event::GroupReady(number) => {
                 if let Some(group) = self.assignment.groups.get_mut(&number) {
                     group.phase = GroupPhase::Serving;
                 }
@@ -334,10 +349,10 @@
                 fleet: &self.fleet,
                 hosts: &self.hosts,
                 assignment: &self.assignment,
-                unreachable: &self.down,
-                lost: &self.lost,
+                unreachable: &self.failed_hosts,
+                lost: &self.lost_groups,
                 held: &self.held,
-                choice: self.spec.choice,
+                choice: self.spec.host_choice,
                 max_forming: 1_000,
                 max_loads: usize::MAX,
                 keeps_surplus: false,
@@ -348,13 +363,13 @@
                 return;
             }
             for step in steps {
-                self.carry_out(&step);
+                self.execute_step(&step);
             }
         }
     }
 
     /// Applies a step to the assignment and schedules its consequences.
-    fn carry_out(&mut self, step: &PlacementStep) {
+    fn execute_step(&mut self, step: &PlacementStep) {
         let number = self.assignment.next_group;
         apply_step(&mut self.assignment, step);
         match step {
@@ -365,22 +380,23 @@
                 loads,
                 ..
             } => {
-                self.result.loads += loads;
-                let begin = self.store_free_at.max(self.now);
-                self.store_free_at = begin + f64::from(*loads) * STORE_SECONDS_PER_HOST;
-                let ready = self.store_free_at + START_SECONDS;
-                self.agenda.push((ready, Happening::Ready(number)));
+                self.result.host_loads += loads;
+                let load_start = self.weight_store_free_at.max(self.now);
+                self.weight_store_free_at = load_start + f64::from(*loads) * LOAD_SECONDS_PER_HOST;
+                let ready_at = self.weight_store_free_at + STARTUP_SECONDS;
+                self.pending_events
+                    .push((ready_at, Event::GroupReady(number)));
                 for member in members {
                     let weights = (model.clone(), version.clone());
                     self.held.insert(member.host.clone(), vec![weights]);
                 }
             }
             PlacementStep::Dissolve { group, .. } => {
-                self.lost.remove(group);
-                let down = &self.down;
+                self.lost_groups.remove(group);
+                let failed_hosts = &self.failed_hosts;
                 self.assignment
                     .releasing
-                    .retain(|host, _| down.contains(host));
+                    .retain(|host, _| failed_hosts.contains(host));
             }
             PlacementStep::Retire { group, .. } => {
                 self.assignment.groups.remove(group);
--- a/standin/src/experiment/fleet.rs
+++ b/standin/src/experiment/fleet.rs
@@ -24,15 +24,15 @@
 };
 use shalehinge::settings::router::RouterSettings;
 
-use super::workload::{Arrival, CUSTOMERS, DEADLINE, MAX_OUTPUT, SHARES};
+use super::workload::{Arrival, CUSTOMER_SHARES, CUSTOMERS, MAX_OUTPUT_TOKENS, REQUEST_DEADLINE};
 use crate::engine::model::{EngineModel, EngineParameters, SequenceSpec};
 
 /// One-way network delay between a router and an engine.
-const NETWORK: Duration = Duration::from_millis(1);
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// Interval between two ticks of a router.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Minimum interval between two samples of an engine's load history.
-const HISTORY: Duration = Duration::from_millis(50);
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Parameters of a simulation.
 #[derive(Clone, Debug)]
@@ -48,11 +48,11 @@
     /// Age of the load in a report.
     pub report_lag: Duration,
     /// Whether reports state the age of the load.
-    pub tells_age: bool,
+    pub reports_load_age: bool,
     /// Number of slow replicas, and the factor on the duration of their steps.
-    pub slow: (usize, f64),
+    pub slow_replicas: (usize, f64),
     /// Number of replicas that are lost, and when, since the start of the run.
-    pub lost: (usize, Duration),
+    pub lost_replicas: (usize, Duration),
     /// Capacity of an engine's KV cache, in tokens.
     pub kv_total: u64,
 }
@@ -63,7 +63,7 @@
     /// Index of the customer.
     pub customer: usize,
     /// Time of arrival since the start of the run.
-    pub came_at: Duration,
+    pub arrived_at: Duration,
     /// Time from arrival to the first token of the last attempt that generated one.
     pub first_token: Option<Duration>,
     /// Mean time between tokens, for a complete output of at least two tokens.
@@ -81,55 +81,55 @@
     /// Results of the requests, in the order of arrival.
     pub requests: Vec<RequestResult>,
     /// Fraction of the prompt blocks that were found in prefix caches.
-    pub prefix_hits: f64,
+    pub prefix_hit_ratio: f64,
     /// Number of sequences preempted because a KV cache was full.
     pub preemptions: u64,
 }
 
 /// Event of the simulation. Routers, engines and arrivals are given by their index.
 #[derive(Clone, Debug, PartialEq)]
-enum Happening {
+enum Event {
     /// A request of the workload arrives.
-    Arrives(usize),
+    RequestArrives(usize),
     /// A router ticks.
-    Ticks(usize),
+    RouterTicks(usize),
     /// An attempt of a router reaches its engine.
-    ReachesEngine(usize, Attempt),
+    AttemptArrives(usize, Attempt),
     /// An engine completes a step.
     StepEnds(usize),
     /// A router receives the status of an upstream that it requested at this time, or `None` on a
     /// timeout.
-    ReportComes(usize, UpstreamId, Timestamp, Option<EngineStatus>),
+    ReportArrives(usize, UpstreamId, Timestamp, Option<EngineStatus>),
     /// A router receives the first token of an attempt.
-    OutputComes(usize, RequestId, AttemptId),
+    OutputArrives(usize, RequestId, AttemptId),
     /// A router learns how an attempt ended.
-    EndComes(usize, RequestId, AttemptId, AttemptEnd),
+    AttemptEndArrives(usize, RequestId, AttemptId, AttemptEnd),
     /// A replica is lost.
-    Loses(usize),
+    ReplicaIsLost(usize),
 }
 
 /// Queue entry for an event: the earliest comes first, then the one added first.
-struct Entry {
+struct QueuedEvent {
     at: Duration,
     number: u64,
-    happening: Happening,
+    event: Event,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.number) == (other.at, other.number)
     }
 }
 
-impl Eq for Entry {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -154,8 +154,8 @@
     spec: &'a FleetSpec,
     arrivals: &'a [Arrival],
     now: Duration,
-    queue: BinaryHeap<Entry>,
-    next_number: u64,
+    queue: BinaryHeap<QueuedEvent>,
+    next_event_number: u64,
     routers: Vec<Router>,
     engines: Vec<Engine>,
     rng: SmallRng,
@@ -167,15 +167,15 @@
 /// last arrival.
 pub fn run(spec: &FleetSpec, arrivals: &[Arrival], seed: u64) -> FleetResult {
     let mut fleet = Fleet::new(spec, arrivals, seed);
-    let end = arrivals.last().map_or(Duration::ZERO, |last| last.at) + DEADLINE * 2;
+    let end = arrivals.last().map_or(Duration::ZERO, |last| last.at) + REQUEST_DEADLINE * 2;
     while let Some(entry) = fleet.queue.pop() {
         if entry.at > end {
             break;
         }
         fleet.now = entry.at;
-        fleet.happen(entry.happening);
+        fleet.handle_event(entry.event);
     }
-    fleet.finish()
+    fleet.into_result()
 }
 
 fn model_name() -> ModelName {
@@ -234,16 +234,16 @@
     Address::from(([10, 0, 0, high], (replica % 60_000) as u16))
 }
 
-fn replica_of(address: Address) -> usize {
+fn replica_at(address: Address) -> usize {
     usize::from(address.port())
 }
 
 /// Returns the router of the daemon with this index, with the topology of the fleet.
-pub fn router_of(index: usize, spec: &FleetSpec, state: &FleetState) -> Router {
+pub fn new_router(index: usize, spec: &FleetSpec, state: &FleetState) -> Router {
     let mut router = Router::new(spec.settings, Incarnation(index as u64 + 1));
-    let me = DaemonId::new(&format!("daemon-{index}"));
+    let own_id = DaemonId::new(&format!("daemon-{index}"));
     let domain = domain_name(index % spec.domains);
-    router.set_topology(topology::build(state, &me, &domain, &spec.settings));
+    router.set_topology(topology::build(state, &own_id, &domain, &spec.settings));
     router.set_sharers(spec.routers);
     router
 }
@@ -252,18 +252,18 @@
     fn new(spec: &'a FleetSpec, arrivals: &'a [Arrival], seed: u64) -> Self {
         let state = fleet_state(spec.domains, spec.replicas);
         let routers = (0..spec.routers)
-            .map(|index| router_of(index, spec, &state))
+            .map(|index| new_router(index, spec, &state))
             .collect();
         let engines = (0..spec.replicas)
-            .map(|index| engine_of(index, spec))
+            .map(|index| new_engine(index, spec))
             .collect();
-        let results = arrivals.iter().map(result_of).collect();
+        let results = arrivals.iter().map(pending_result).collect();
         let mut fleet = Self {
             spec,
             arrivals,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            next_number: 0,
+            next_event_number: 0,
             routers,
             engines,
             rng: SmallRng::seed_from_u64(seed),
@@ -272,64 +272,67 @@
         };
         for index in 0..spec.routers {
             // Staggers the ticks of the routers.
-            let offset = TICK.mul_f64(index as f64 / spec.routers as f64);
-            fleet.add(offset, Happening::Ticks(index));
+            let offset = TICK_INTERVAL.mul_f64(index as f64 / spec.routers as f64);
+            fleet.schedule_after(offset, Event::RouterTicks(index));
         }
         for (index, arrival) in arrivals.iter().enumerate() {
-            fleet.add_at(arrival.at, Happening::Arrives(index));
+            fleet.schedule_at(arrival.at, Event::RequestArrives(index));
         }
-        for index in 0..spec.lost.0 {
-            fleet.add_at(spec.lost.1, Happening::Loses(index));
+        for index in 0..spec.lost_replicas.0 {
+            fleet.schedule_at(spec.lost_replicas.1, Event::ReplicaIsLost(index));
         }
         fleet
     }
 
-    fn add(&mut self, delay: Duration, happening: Happening) {
-        self.add_at(self.now + delay, happening);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn add_at(&mut self, at: Duration, happening: Happening) {
-        self.next_number += 1;
-        let number = self.next_number;
-        self.queue.push(Entry {
-            at,
-            number,
-            happening,
-        });
+    fn schedule_at(&mut self, at: Duration, event: Event) {
+        self.next_event_number += 1;
+        let number = self.next_event_number;
+        self.queue.push(QueuedEvent { at, number, event });
     }
 
     /// Current time by the clock of the routers.
-    fn clock(&self) -> Timestamp {
+    fn router_time(&self) -> Timestamp {
         // The run starts 10 s after the daemons.
         Timestamp::from_duration(self.now + Duration::from_secs(10))
     }
 
-    fn happen(&mut self, happening: Happening) {
-        let now = self.clock();
-        let mut out = Vec::new();
-        match happening {
-            Happening::Arrives(index) => self.arrive(index),
-            Happening::Ticks(index) => self.tick(index),
-            Happening::ReachesEngine(router, attempt) => self.begin(router, attempt),
-            Happening::StepEnds(engine) => self.end_step(engine),
-            Happening::ReportComes(index, id, asked_at, status) => {
+    fn handle_event(&mut self, event: Event) {
+        let now = self.router_time();
+        let mut actions = Vec::new();
+        match event {
+            Event::RequestArrives(index) => self.submit_request(index),
+            Event::RouterTicks(index) => self.tick(index),
+            Event::AttemptArrives(router, attempt) => self.start_attempt(router, attempt),
+            Event::StepEnds(engine) => self.end_step(engine),
+            Event::ReportArrives(index, id, asked_at, status) => {
                 let router = &mut self.routers[index];
-                router.on_report(now, asked_at, &id, status.as_ref(), &mut self.rng, &mut out);
-                self.act(index, out);
+                router.on_report(
+                    now,
+                    asked_at,
+                    &id,
+                    status.as_ref(),
+                    &mut self.rng,
+                    &mut actions,
+                );
+                self.apply_actions(index, actions);
             }
-            Happening::OutputComes(index, request, attempt) => {
+            Event::OutputArrives(index, request, attempt) => {
                 self.routers[index].on_output(now, request, attempt);
             }
-            Happening::EndComes(index, request, attempt, end) => {
+            Event::AttemptEndArrives(index, request, attempt, end) => {
                 let router = &mut self.routers[index];
-                router.on_ended(now, request, attempt, end, &mut self.rng, &mut out);
-                self.act(index, out);
+                router.on_ended(now, request, attempt, end, &mut self.rng, &mut actions);
+                self.apply_actions(index, actions);
             }
-            Happening::Loses(index) => self.lose(index),
+            Event::ReplicaIsLost(index) => self.lose_replica(index),
         }
     }
 
-    fn arrive(&mut self, index: usize) {
+    fn submit_request(&mut self, index: usize) {
         let arrival = &self.arrivals[index];
         let router = index % self.spec.routers;
         let meta = RequestMeta {
@@ -337,8 +340,8 @@
             fingerprint: Fingerprint(index as u64),
             target: Target::Model(model_name()),
             prompt_tokens: arrival.prompt_tokens,
-            max_output_tokens: MAX_OUTPUT,
-            deadline: self.clock() + DEADLINE,
+            max_output_tokens: MAX_OUTPUT_TOKENS,
+            deadline: self.router_time() + REQUEST_DEADLINE,
             first_output_within: None,
             priority: 0,
             key: None,
@@ -348,29 +351,32 @@
             is_resumable: false,
             credential: None,
         };
-        let mut out = Vec::new();
-        let (now, request) = (self.clock(), RequestId(index as u64));
-        let share = SHARES[arrival.customer];
-        self.routers[router].submit(now, request, meta, share, &mut self.rng, &mut out);
-        self.act(router, out);
+        let mut actions = Vec::new();
+        let (now, request) = (self.router_time(), RequestId(index as u64));
+        let share = CUSTOMER_SHARES[arrival.customer];
+        self.routers[router].submit(now, request, meta, share, &mut self.rng, &mut actions);
+        self.apply_actions(router, actions);
     }
 
     fn tick(&mut self, index: usize) {
-        let now = self.clock();
-        for wanted in self.routers[index].reports_wanted(now) {
-            let engine = replica_of(wanted.address);
-            let status = self.status(engine, wanted.group);
+        let now = self.router_time();
+        for report_request in self.routers[index].reports_wanted(now) {
+            let engine = replica_at(report_request.address);
+            let status = self.status(engine, report_request.group);
             let delay = if status.is_some() {
-                NETWORK * 2
+                NETWORK_DELAY * 2
             } else {
                 Duration::from_secs(1)
             };
-            self.add(delay, Happening::ReportComes(index, wanted.id, now, status));
+            self.schedule_after(
+                delay,
+                Event::ReportArrives(index, report_request.id, now, status),
+            );
         }
-        let mut out = Vec::new();
-        self.routers[index].tick(now, &mut self.rng, &mut out);
-        self.act(index, out);
-        self.add(TICK, Happening::Ticks(index));
+        let mut actions = Vec::new();
+        self.routers[index].tick(now, &mut self.rng, &mut actions);
+        self.apply_actions(index, actions);
+        self.schedule_after(TICK_INTERVAL, Event::RouterTicks(index));
     }
 
     /// Status that an engine reports, with a load as old as the report lag; `None` if it is lost.
@@ -379,12 +385,16 @@
         if engine.is_lost {
             return None;
         }
-        let then = self.now.saturating_sub(self.spec.report_lag);
-        let lagged = engine.history.iter().rev().find(|(at, _)| *at <= then);
+        let sampled_by = self.now.saturating_sub(self.spec.report_lag);
+        let lagged = engine
+            .history
+            .iter()
+            .rev()
+            .find(|(at, _)| *at <= sampled_by);
         let mut load = lagged.map_or_else(|| engine.model.load(), |(_, load)| *load);
         load.age_ms = self
             .spec
-            .tells_age
+            .reports_load_age
             .then_some(self.spec.report_lag.as_millis() as u64);
         Some(EngineStatus {
             host: HostId::new("host"),
@@ -399,32 +409,32 @@
         })
     }
 
-    fn act(&mut self, router: usize, actions: Vec<RouterAction>) {
+    fn apply_actions(&mut self, router: usize, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
                 RouterAction::Send(attempt) => {
                     let index = attempt.request.0 as usize;
                     self.results[index].attempts += 1;
-                    self.add(NETWORK, Happening::ReachesEngine(router, attempt));
+                    self.schedule_after(NETWORK_DELAY, Event::AttemptArrives(router, attempt));
                 }
                 RouterAction::Answer { request, outcome } => {
                     let index = request.0 as usize;
                     self.results[index].outcome = Some((outcome, self.now));
                 }
-                RouterAction::Abandon(attempt) => self.abandon(attempt),
+                RouterAction::Abandon(attempt) => self.cancel_attempt(attempt),
                 RouterAction::CheckUpstream { upstream, .. } => {
                     // A lost replica would return as a different one; its host still answers, so
                     // the upstream doesn't count as gone.
-                    let (now, is_gone) = (self.clock(), false);
-                    let mut out = Vec::new();
+                    let (now, is_gone) = (self.router_time(), false);
+                    let mut new_actions = Vec::new();
                     self.routers[router].on_upstream_checked(
                         now,
                         &upstream,
                         is_gone,
                         &mut self.rng,
-                        &mut out,
+                        &mut new_actions,
                     );
-                    self.act(router, out);
+                    self.apply_actions(router, new_actions);
                 }
                 // Simulated engines neither announce limits nor crash on a request.
                 RouterAction::AskTrial(_)
@@ -436,7 +446,7 @@
     }
 
     /// Cancels the sequence of an attempt.
-    fn abandon(&mut self, attempt: AttemptId) {
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
         for engine in &mut self.engines {
             let sequence = engine
                 .sequences
@@ -451,13 +461,13 @@
     }
 
     /// Submits an attempt to its engine.
-    fn begin(&mut self, router: usize, attempt: Attempt) {
-        let index = replica_of(attempt.address);
+    fn start_attempt(&mut self, router: usize, attempt: Attempt) {
+        let index = replica_at(attempt.address);
         if self.engines[index].is_lost {
             let (request, id) = (attempt.request, attempt.id);
-            self.add(
-                NETWORK,
-                Happening::EndComes(router, request, id, AttemptEnd::NotSent),
+            self.schedule_after(
+                NETWORK_DELAY,
+                Event::AttemptEndArrives(router, request, id, AttemptEnd::NotSent),
             );
             return;
         }
@@ -473,11 +483,11 @@
             priority: 0,
         });
         engine.sequences.insert(id, (router, attempt, self.now));
-        self.step(index);
+        self.start_step(index);
     }
 
     /// Starts the next step of an engine, unless a step is in progress.
-    fn step(&mut self, index: usize) {
+    fn start_step(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         if engine.is_stepping || engine.is_lost {
             return;
@@ -485,7 +495,7 @@
         if let Some(step) = engine.model.step() {
             engine.is_stepping = true;
             engine.pending_tokens = step.tokens;
-            self.add(step.duration, Happening::StepEnds(index));
+            self.schedule_after(step.duration, Event::StepEnds(index));
         }
     }
 
@@ -494,30 +504,30 @@
         let engine = &mut self.engines[index];
         engine.is_stepping = false;
         let newest = engine.history.back().map(|(at, _)| *at);
-        if newest.is_none_or(|at| now >= at + HISTORY) {
+        if newest.is_none_or(|at| now >= at + LOAD_SAMPLE_INTERVAL) {
             engine.history.push_back((now, engine.model.load()));
             let oldest = now.saturating_sub(Duration::from_secs(3));
             engine.history.retain(|(at, _)| *at >= oldest);
         }
         for token in std::mem::take(&mut self.engines[index].pending_tokens) {
-            self.give_token(index, token);
+            self.deliver_token(index, token);
         }
-        self.step(index);
+        self.start_step(index);
     }
 
     /// Sends a token of an engine to the router of its attempt.
-    fn give_token(&mut self, index: usize, token: crate::engine::model::Token) {
+    fn deliver_token(&mut self, index: usize, token: crate::engine::model::Token) {
         let engine = &mut self.engines[index];
         let Some((router, attempt, first_at)) = engine.sequences.get_mut(&token.id) else {
             return;
         };
         let (router, request, id) = (*router, attempt.request, attempt.id);
         let result = &mut self.results[request.0 as usize];
-        let here = self.now + NETWORK;
+        let received_at = self.now + NETWORK_DELAY;
         if token.number == 1 {
             *first_at = self.now;
-            result.first_token = Some(here - result.came_at);
-            self.add(NETWORK, Happening::OutputComes(router, request, id));
+            result.first_token = Some(received_at - result.arrived_at);
+            self.schedule_after(NETWORK_DELAY, Event::OutputArrives(router, request, id));
         }
         if !token.is_last {
             return;
@@ -532,42 +542,45 @@
         let end = AttemptEnd::Completed {
             output_tokens: token.number,
         };
-        self.add(NETWORK, Happening::EndComes(router, request, id, end));
+        self.schedule_after(
+            NETWORK_DELAY,
+            Event::AttemptEndArrives(router, request, id, end),
+        );
     }
 
-    fn lose(&mut self, index: usize) {
+    fn lose_replica(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine.is_lost = true;
         engine.model.reset();
         for (_, (router, attempt, _)) in std::mem::take(&mut engine.sequences) {
             let (request, id) = (attempt.request, attempt.id);
-            self.add(
-                NETWORK,
-                Happening::EndComes(router, request, id, AttemptEnd::Lost),
+            self.schedule_after(
+                NETWORK_DELAY,
+                Event::AttemptEndArrives(router, request, id, AttemptEnd::Lost),
             );
         }
     }
 
-    fn finish(self) -> FleetResult {
+    fn into_result(self) -> FleetResult {
         let sum = |count: fn(&EngineModel) -> u64| -> u64 {
             self.engines.iter().map(|engine| count(&engine.model)).sum()
         };
-        let asked = sum(|model| model.asked_blocks).max(1);
+        let lookups = sum(|model| model.cache_lookup_blocks).max(1);
         FleetResult {
-            prefix_hits: sum(|model| model.hit_blocks) as f64 / asked as f64,
+            prefix_hit_ratio: sum(|model| model.cache_hit_blocks) as f64 / lookups as f64,
             preemptions: sum(|model| model.preemptions),
             requests: self.results,
         }
     }
 }
 
-fn engine_of(index: usize, spec: &FleetSpec) -> Engine {
+fn new_engine(index: usize, spec: &FleetSpec) -> Engine {
     let mut parameters = EngineParameters {
         kv_total: spec.kv_total,
         ..EngineParameters::default()
     };
-    if index < spec.slow.0 {
-        parameters.slowness = spec.slow.1;
+    if index < spec.slow_replicas.0 {
+        parameters.slowdown = spec.slow_replicas.1;
     }
     Engine {
         model: EngineModel::new(parameters),
@@ -579,10 +592,10 @@
     }
 }
 
-fn result_of(arrival: &Arrival) -> RequestResult {
+fn pending_result(arrival: &Arrival) -> RequestResult {
     RequestResult {
         customer: arrival.customer,
-        came_at: arrival.at,
+        arrived_at: arrival.at,
         first_token: None,
         token_interval: None,
         outcome: None,
@@ -591,16 +604,16 @@
 }
 
 /// Returns the number of requests per second that one engine with this KV cache, in tokens,
-/// completes while its queue never runs empty. Simulates this for `time`.
-pub fn engine_capacity(arrivals: &[Arrival], kv_total: u64, time: Duration) -> f64 {
+/// completes while its queue never runs empty. Simulates this for `duration`.
+pub fn engine_capacity(arrivals: &[Arrival], kv_total: u64, duration: Duration) -> f64 {
     let mut model = EngineModel::new(EngineParameters {
         kv_total,
         ..EngineParameters::default()
     });
-    let mut passed = Duration::ZERO;
-    let mut done = 0;
+    let mut elapsed = Duration::ZERO;
+    let mut completed = 0;
     let mut next = arrivals.iter().cycle().enumerate();
-    while passed < time {
+    while elapsed < duration {
         while model.load().waiting < CUSTOMERS as u32 {
             let Some((id, arrival)) = next.next() else {
                 break;
@@ -616,8 +629,8 @@
         let Some(step) = model.step() else {
             break;
         };
-        passed += step.duration;
-        done += step.tokens.iter().filter(|token| token.is_last).count();
+        elapsed += step.duration;
+        completed += step.tokens.iter().filter(|token| token.is_last).count();
     }
-    done as f64 / passed.as_secs_f64()
+    completed as f64 / elapsed.as_secs_f64()
 }
--- a/standin/src/experiment/routing.rs
+++ b/standin/src/experiment/routing.rs
@@ -8,9 +8,11 @@
 use shalehinge::core::router::request::Outcome;
 use shalehinge::settings::router::{ChoicePolicy, RouterSettings};
 
-use super::fleet::{FleetResult, FleetSpec, RequestResult, engine_capacity, run as run_fleet};
-use super::statistics::{quantile, run_all, spread};
-use super::workload::{Arrival, CUSTOMERS, DEADLINE, SHARES, arrivals, even_demand};
+use super::fleet::{FleetResult, FleetSpec, RequestResult, engine_capacity, run as simulate_fleet};
+use super::statistics::{format_spread, quantile, run_parallel};
+use super::workload::{
+    Arrival, CUSTOMER_SHARES, CUSTOMERS, REQUEST_DEADLINE, arrivals, proportional_demand,
+};
 
 /// Number of daemons.
 const ROUTERS: usize = 9;
@@ -19,13 +21,13 @@
 /// Number of replicas.
 const REPLICAS: usize = 24;
 /// Time over which requests arrive.
-const TIME: Duration = Duration::from_secs(90);
+const RUN_DURATION: Duration = Duration::from_secs(90);
 /// Start of the measurement in scenarios without lost replicas.
 const WARM_UP: Duration = Duration::from_secs(20);
 /// When replicas are lost, and the measurement starts, in scenarios with lost replicas.
-const LOSS_AT: Duration = Duration::from_secs(20);
+const LOSS_TIME: Duration = Duration::from_secs(20);
 /// Requests that arrive up to this long before the start of the measurement are included.
-const LOSS_COHORT: Duration = Duration::from_secs(5);
+const ARRIVAL_LEAD: Duration = Duration::from_secs(5);
 
 /// compare routing policies
 #[derive(FromArgs, Debug, Clone)]
@@ -59,68 +61,68 @@
     /// Name in the table.
     name: &'static str,
     /// Number of slow replicas.
-    slow: usize,
+    slow_replicas: usize,
     /// Number of replicas that are lost.
-    lost: usize,
+    lost_replicas: usize,
     /// Age of the load in reports.
     report_lag: Duration,
     /// Whether reports state the age of the load.
-    tells_age: bool,
+    reports_load_age: bool,
     /// Whether one small customer's demand is ten times its share.
-    greedy: bool,
+    has_greedy_customer: bool,
     /// Capacity of an engine's KV cache, in tokens.
     kv_total: u64,
 }
 
 /// Default capacity of an engine's KV cache, in tokens.
-const KV: u64 = 48_000;
+const KV_CACHE_TOKENS: u64 = 48_000;
 
 /// Scenario without faults; the other scenarios differ from it in the fields that they set.
-const CALM: Scenario = Scenario {
+const NO_FAULTS: Scenario = Scenario {
     name: "calm",
-    slow: 0,
-    lost: 0,
+    slow_replicas: 0,
+    lost_replicas: 0,
     report_lag: Duration::from_millis(100),
-    tells_age: true,
-    greedy: false,
-    kv_total: KV,
+    reports_load_age: true,
+    has_greedy_customer: false,
+    kv_total: KV_CACHE_TOKENS,
 };
 
 const SCENARIOS: [Scenario; 6] = [
-    CALM,
+    NO_FAULTS,
     Scenario {
         name: "one slow",
-        slow: 1,
-        ..CALM
+        slow_replicas: 1,
+        ..NO_FAULTS
     },
     Scenario {
         name: "third lost",
-        lost: REPLICAS / 3,
-        ..CALM
+        lost_replicas: REPLICAS / 3,
+        ..NO_FAULTS
     },
     Scenario {
         name: "old reports",
         report_lag: Duration::from_secs(2),
-        tells_age: false,
-        ..CALM
+        reports_load_age: false,
+        ..NO_FAULTS
     },
     Scenario {
         name: "one greedy",
-        greedy: true,
-        ..CALM
+        has_greedy_customer: true,
+        ..NO_FAULTS
     },
     Scenario {
         name: "little memory",
-        kv_total: KV / 3,
-        ..CALM
+        kv_total: KV_CACHE_TOKENS / 3,
+        ..NO_FAULTS
     },
 ];
 
 /// Offered loads, as multiples of the capacity of all replicas.
-const LOADS: [f64; 3] = [0.7, 0.95, 1.3];
+const OFFERED_LOADS: [f64; 3] = [0.7, 0.95, 1.3];
 
 /// Settings for a policy without admission control: requests are sent to an engine at once.
-fn without_limits(policy: ChoicePolicy) -> RouterSettings {
+fn without_admission_control(policy: ChoicePolicy) -> RouterSettings {
     RouterSettings {
         policy,
         early_refusal: false,
@@ -170,12 +172,12 @@
         Policy {
             name: "round robin",
             routers: ROUTERS,
-            settings: without_limits(ChoicePolicy::RoundRobin),
+            settings: without_admission_control(ChoicePolicy::RoundRobin),
         },
         Policy {
             name: "least in flight",
             routers: ROUTERS,
-            settings: without_limits(ChoicePolicy::LeastInFlight),
+            settings: without_admission_control(ChoicePolicy::LeastInFlight),
         },
         Policy {
             name: "one queue",
@@ -191,27 +193,27 @@
 
 /// Measurements of one run.
 #[derive(Clone, Copy, Debug, Default)]
-struct Measures {
+struct Measurements {
     /// Rate of answers completed within their deadline, as a fraction of the capacity.
     goodput: f64,
     /// Median time to first token, in seconds.
-    first_p50: f64,
+    first_token_p50: f64,
     /// 95th percentile of the time to first token, in seconds.
-    first_p95: f64,
+    first_token_p95: f64,
     /// 99th percentile of the time to first token, in seconds.
-    first_p99: f64,
+    first_token_p99: f64,
     /// 95th percentile of the mean time between tokens, in milliseconds.
-    interval_p95: f64,
+    token_interval_p95: f64,
     /// Fraction of requests that were refused without being run.
     refused: f64,
     /// Fraction of requests that were neither refused nor completed within their deadline.
-    late: f64,
+    failed_or_late: f64,
     /// Lowest ratio of goodput to fair share among the customers.
-    worst_share: f64,
+    min_fair_share_ratio: f64,
     /// Mean number of attempts per request that was sent to an engine.
     attempts: f64,
     /// Fraction of the prompt blocks found in prefix caches, over the complete run.
-    hits: f64,
+    prefix_hit_ratio: f64,
 }
 
 /// Runs the experiments and prints the table to standard output.
@@ -224,7 +226,7 @@
         if !scenario.name.contains(&arguments.scenario) {
             continue;
         }
-        for load in LOADS {
+        for load in OFFERED_LOADS {
             for policy in policies() {
                 if policy.name.contains(&arguments.policy) {
                     print_row(&scenario, load, &policy, arguments.seeds);
@@ -236,13 +238,13 @@
 
 fn print_row(scenario: &Scenario, load: f64, policy: &Policy, seeds: u64) {
     let jobs: Vec<u64> = (0..seeds).collect();
-    let all = run_all(&jobs, |seed| measure(scenario, load, policy, *seed));
-    let column = |value: fn(&Measures) -> f64, digits| {
-        let values: Vec<f64> = all.iter().map(value).collect();
-        spread(&values, digits)
+    let results = run_parallel(&jobs, |seed| measure(scenario, load, policy, *seed));
+    let column = |value: fn(&Measurements) -> f64, digits| {
+        let values: Vec<f64> = results.iter().map(value).collect();
+        format_spread(&values, digits)
     };
-    let median = |value: fn(&Measures) -> f64| {
-        let values: Vec<f64> = all.iter().map(value).collect();
+    let median = |value: fn(&Measurements) -> f64| {
+        let values: Vec<f64> = results.iter().map(value).collect();
         quantile(&values, 0.5)
     };
     println!(
@@ -250,76 +252,87 @@
         scenario.name,
         policy.name,
         column(|m| m.goodput, 3),
-        median(|m| m.first_p50),
-        median(|m| m.first_p95),
-        column(|m| m.first_p99, 2),
-        median(|m| m.interval_p95),
+        median(|m| m.first_token_p50),
+        median(|m| m.first_token_p95),
+        column(|m| m.first_token_p99, 2),
+        median(|m| m.token_interval_p95),
         median(|m| m.refused),
-        median(|m| m.late),
-        column(|m| m.worst_share, 2),
+        median(|m| m.failed_or_late),
+        column(|m| m.min_fair_share_ratio, 2),
         median(|m| m.attempts),
-        median(|m| m.hits),
+        median(|m| m.prefix_hit_ratio),
     );
 }
 
-fn measure(scenario: &Scenario, load: f64, policy: &Policy, seed: u64) -> Measures {
+fn measure(scenario: &Scenario, load: f64, policy: &Policy, seed: u64) -> Measurements {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let even = even_demand();
-    let sample = arrivals(&mut rng, 100.0, Duration::from_secs(20), &even);
+    let base_demand = proportional_demand();
+    let sample = arrivals(&mut rng, 100.0, Duration::from_secs(20), &base_demand);
     let per_engine = engine_capacity(&sample, scenario.kv_total, Duration::from_secs(60));
-    let mut demand = even;
+    let mut demand = base_demand;
     let mut per_second = per_engine * REPLICAS as f64 * load;
-    if scenario.greedy {
+    if scenario.has_greedy_customer {
         // One small customer's demand is ten times its share, in addition to that of the others.
         let greedy = CUSTOMERS - 1;
-        let before: f64 = demand.iter().sum();
+        let total_before: f64 = demand.iter().sum();
         demand[greedy] *= 10.0;
-        per_second *= demand.iter().sum::<f64>() / before;
+        per_second *= demand.iter().sum::<f64>() / total_before;
     }
-    let requests = arrivals(&mut rng, per_second, TIME, &demand);
+    let requests = arrivals(&mut rng, per_second, RUN_DURATION, &demand);
     let spec = FleetSpec {
         routers: policy.routers,
         domains: if policy.routers == 1 { 1 } else { DOMAINS },
         replicas: REPLICAS,
         settings: policy.settings,
         report_lag: scenario.report_lag,
-        tells_age: scenario.tells_age,
-        slow: (scenario.slow, 4.0),
-        lost: (scenario.lost, LOSS_AT),
+        reports_load_age: scenario.reports_load_age,
+        slow_replicas: (scenario.slow_replicas, 4.0),
+        lost_replicas: (scenario.lost_replicas, LOSS_TIME),
         kv_total: scenario.kv_total,
     };
-    let result = run_fleet(&spec, &requests, seed);
-    let left = if scenario.lost > 0 {
-        (REPLICAS - scenario.lost) as f64
+    let result = simulate_fleet(&spec, &requests, seed);
+    let effective_engines = if scenario.lost_replicas > 0 {
+        (REPLICAS - scenario.lost_replicas) as f64
+    } else {
+        REPLICAS as f64 - scenario.slow_replicas as f64 * 0.75
+    };
+    let measured_from = if scenario.lost_replicas > 0 {
+        LOSS_TIME
     } else {
-        REPLICAS as f64 - scenario.slow as f64 * 0.75
+        WARM_UP
     };
-    let from = if scenario.lost > 0 { LOSS_AT } else { WARM_UP };
-    summarise(&requests, &result, from, per_engine * left, &demand)
+    summarise(
+        &requests,
+        &result,
+        measured_from,
+        per_engine * effective_engines,
+        &demand,
+    )
 }
 
 fn summarise(
     arrivals: &[Arrival],
     result: &FleetResult,
-    from: Duration,
+    measured_from: Duration,
     capacity: f64,
     demand: &[f64; CUSTOMERS],
-) -> Measures {
+) -> Measurements {
     // Leaves out requests whose deadline is after the end of the run.
     let measured: Vec<_> = result
         .requests
         .iter()
         .filter(|request| {
-            request.came_at + LOSS_COHORT >= from && request.came_at < TIME - DEADLINE
+            request.arrived_at + ARRIVAL_LEAD >= measured_from
+                && request.arrived_at < RUN_DURATION - REQUEST_DEADLINE
         })
         .collect();
     let count = measured.len().max(1) as f64;
-    let time = (TIME - from).as_secs_f64();
+    let measured_seconds = (RUN_DURATION - measured_from).as_secs_f64();
     let answered_in_time = |request: &RequestResult| match request.outcome {
-        Some((Outcome::Completed, at)) if at <= request.came_at + DEADLINE => Some(at),
+        Some((Outcome::Completed, at)) if at <= request.arrived_at + REQUEST_DEADLINE => Some(at),
         _ => None,
     };
-    let good: Vec<_> = measured
+    let good_requests: Vec<_> = measured
         .iter()
         .filter(|request| answered_in_time(request).is_some())
         .collect();
@@ -327,82 +340,95 @@
     let answered: Vec<_> = result
         .requests
         .iter()
-        .filter(|request| answered_in_time(request).is_some_and(|at| at >= from && at < TIME))
+        .filter(|request| {
+            answered_in_time(request).is_some_and(|at| at >= measured_from && at < RUN_DURATION)
+        })
         .collect();
     let refused = measured
         .iter()
         .filter(|request| matches!(request.outcome, Some((Outcome::NotRun { .. }, _))));
     let refused = refused.count() as f64;
     let seconds = |duration: Duration| duration.as_secs_f64();
-    let firsts: Vec<f64> = good
+    let first_token_times: Vec<f64> = good_requests
         .iter()
         .filter_map(|r| r.first_token.map(seconds))
         .collect();
-    let intervals: Vec<f64> = good
+    let token_intervals: Vec<f64> = good_requests
         .iter()
         .filter_map(|r| r.token_interval.map(|t| t.as_secs_f64() * 1e3))
         .collect();
     let attempts: u32 = measured.iter().map(|r| r.attempts).sum();
     let sent = measured.iter().filter(|r| r.attempts > 0).count().max(1);
-    let mut good_of = [0.0; CUSTOMERS];
+    let mut answered_by_customer = [0.0; CUSTOMERS];
     for request in &answered {
-        good_of[request.customer] += 1.0;
+        answered_by_customer[request.customer] += 1.0;
     }
-    let rate = arrivals.len() as f64 / TIME.as_secs_f64();
-    Measures {
-        goodput: answered.len() as f64 / time / capacity,
-        first_p50: quantile(&firsts, 0.5),
-        first_p95: quantile(&firsts, 0.95),
-        first_p99: quantile(&firsts, 0.99),
-        interval_p95: quantile(&intervals, 0.95),
+    let rate = arrivals.len() as f64 / RUN_DURATION.as_secs_f64();
+    Measurements {
+        goodput: answered.len() as f64 / measured_seconds / capacity,
+        first_token_p50: quantile(&first_token_times, 0.5),
+        first_token_p95: quantile(&first_token_times, 0.95),
+        first_token_p99: quantile(&first_token_times, 0.99),
+        token_interval_p95: quantile(&token_intervals, 0.95),
         refused: refused / count,
-        late: 1.0 - (good.len() as f64 + refused) / count,
-        worst_share: worst_share(&good_of.map(|good| good / time), rate, capacity, demand),
+        failed_or_late: 1.0 - (good_requests.len() as f64 + refused) / count,
+        min_fair_share_ratio: min_fair_share_ratio(
+            &answered_by_customer.map(|completed| completed / measured_seconds),
+            rate,
+            capacity,
+            demand,
+        ),
         attempts: f64::from(attempts) / sent as f64,
-        hits: result.prefix_hits,
+        prefix_hit_ratio: result.prefix_hit_ratio,
     }
 }
 
 /// Returns the lowest ratio of goodput to fair share among the customers. All rates are in
 /// requests per second.
-fn worst_share(
-    good: &[f64; CUSTOMERS],
+fn min_fair_share_ratio(
+    goodput: &[f64; CUSTOMERS],
     rate: f64,
     capacity: f64,
     demand: &[f64; CUSTOMERS],
 ) -> f64 {
     let total: f64 = demand.iter().sum();
-    let wants = demand.map(|part| rate * part / total);
-    let due = water_fill(&wants, capacity);
-    let ratios = good.iter().zip(due).map(|(good, due)| good / due.max(1e-9));
+    let demand_rates = demand.map(|customer_demand| rate * customer_demand / total);
+    let fair_shares = max_min_fair_shares(&demand_rates, capacity);
+    let ratios = goodput
+        .iter()
+        .zip(fair_shares)
+        .map(|(goodput, fair_share)| goodput / fair_share.max(1e-9));
     ratios.fold(f64::INFINITY, f64::min)
 }
 
 /// Divides the capacity by weighted max-min fairness: in proportion to the shares, up to each
 /// customer's demand. Capacity that a customer doesn't need is divided among the others.
-fn water_fill(wants: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
-    let mut due = [0.0; CUSTOMERS];
-    let mut open: Vec<usize> = (0..CUSTOMERS).collect();
-    let mut left = capacity;
-    while !open.is_empty() {
-        let shares: f64 = open.iter().map(|i| f64::from(SHARES[*i])).sum();
-        let part = |i: usize| left * f64::from(SHARES[i]) / shares;
-        let full: Vec<usize> = open
+fn max_min_fair_shares(demand_rates: &[f64; CUSTOMERS], capacity: f64) -> [f64; CUSTOMERS] {
+    let mut fair_shares = [0.0; CUSTOMERS];
+    let mut unsatisfied: Vec<usize> = (0..CUSTOMERS).collect();
+    let mut remaining = capacity;
+    while !unsatisfied.is_empty() {
+        let shares: f64 = unsatisfied
+            .iter()
+            .map(|i| f64::from(CUSTOMER_SHARES[*i]))
+            .sum();
+        let share_of = |i: usize| remaining * f64::from(CUSTOMER_SHARES[i]) / shares;
+        let satisfied: Vec<usize> = unsatisfied
             .iter()
             .copied()
-            .filter(|i| wants[*i] <= part(*i))
+            .filter(|i| demand_rates[*i] <= share_of(*i))
             .collect();
-        if full.is_empty() {
-            for i in open {
-                due[i] = part(i);
+        if satisfied.is_empty() {
+            for i in unsatisfied {
+                fair_shares[i] = share_of(i);
             }
-            return due;
+            return fair_shares;
         }
-        for i in &full {
-            due[*i] = wants[*i];
+        for i in &satisfied {
+            fair_shares[*i] = demand_rates[*i];
         }
-        left -= full.iter().map(|i| wants[*i]).sum::<f64>();
-        open.retain(|i| !full.contains(i));
+        remaining -= satisfied.iter().map(|i| demand_rates[*i]).sum::<f64>();
+        unsatisfied.retain(|i| !satisfied.contains(i));
     }
-    due
+    fair_shares
 }
--- a/standin/src/experiment/statistics.rs
+++ b/standin/src/experiment/statistics.rs
@@ -7,20 +7,20 @@
 /// Number of threads that run jobs.
 const THREADS: usize = 6;
 
-/// Returns the quantile of the values at `part` (0 to 1) by the nearest rank, or NaN if there are
-/// no values.
-pub fn quantile(values: &[f64], part: f64) -> f64 {
+/// Returns the quantile of the values at `fraction` (0 to 1) by the nearest rank, or NaN if there
+/// are no values.
+pub fn quantile(values: &[f64], fraction: f64) -> f64 {
     if values.is_empty() {
         return f64::NAN;
     }
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let last = sorted.len() - 1;
-    sorted[(last as f64 * part).round() as usize]
+    sorted[(last as f64 * fraction).round() as usize]
 }
 
 /// Formats the median with the 10th and 90th percentile, as `median (p10..p90)`.
-pub fn spread(values: &[f64], digits: usize) -> String {
+pub fn format_spread(values: &[f64], digits: usize) -> String {
     format!(
         "{:.digits$} ({:.digits$}..{:.digits$})",
         quantile(values, 0.5),
@@ -30,7 +30,7 @@
 }
 
 /// Runs all jobs in parallel and returns their results in the order of the jobs.
-pub fn run_all<J: Sync, R: Send>(jobs: &[J], run: impl Fn(&J) -> R + Sync) -> Vec<R> {
+pub fn run_parallel<J: Sync, R: Send>(jobs: &[J], run: impl Fn(&J) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
     thread::scope(|scope| {
--- a/standin/src/load/client.rs
+++ b/standin/src/load/client.rs
@@ -13,7 +13,7 @@
 /// A request to send.
 #[derive(Clone, Debug)]
 pub struct StreamRequest {
-    to: SocketAddr,
+    address: SocketAddr,
     key: String,
     body: String,
 }
@@ -24,14 +24,14 @@
     /// HTTP status; 0 if there was no response.
     pub status: u16,
     /// Whether the `[DONE]` event was received.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Time from sending the request to the first token.
     pub first_token: Option<Duration>,
     /// Time from emission by the engine to receipt, for each token that states when it was
     /// emitted. Requires both processes to share a wall clock.
-    pub on_the_way: Vec<Duration>,
+    pub transit_times: Vec<Duration>,
     /// Times between consecutive tokens.
-    pub intervals: Vec<Duration>,
+    pub token_intervals: Vec<Duration>,
 }
 
 impl StreamRequest {
@@ -49,7 +49,7 @@
             "messages": [{"role": "user", "content": prompt}],
         });
         Self {
-            to: arguments.to,
+            address: arguments.to,
             key: arguments.key.clone(),
             body: body.to_string(),
         }
@@ -57,11 +57,11 @@
 }
 
 /// Sends a request and reads its response up to the `[DONE]` event or the end of the stream.
-pub async fn stream_once(client: &Client, request: &StreamRequest) -> StreamResult {
+pub async fn send_streamed_request(client: &Client, request: &StreamRequest) -> StreamResult {
     let mut result = StreamResult::default();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let conn = client
-        .post(url(request.to, "/v1/chat/completions"))
+        .post(url(request.address, "/v1/chat/completions"))
         .with_request_header("authorization", format!("Bearer {}", request.key))
         .with_request_header("content-type", "application/json")
         .with_body(request.body.clone());
@@ -73,30 +73,32 @@
         return result;
     };
     let mut lines = BufReader::new(body).lines();
-    let mut last: Option<Instant> = None;
+    let mut last_token_at: Option<Instant> = None;
     while let Some(Ok(line)) = lines.next().await {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            result.is_whole = true;
+            result.is_complete = true;
             break;
         }
         let now = Instant::now();
-        if let Some(emitted) = emitted_at(data) {
-            result.on_the_way.push(wall_clock().saturating_sub(emitted));
+        if let Some(emitted_at) = emission_time(data) {
+            result
+                .transit_times
+                .push(wall_clock().saturating_sub(emitted_at));
         }
-        match last {
-            None => result.first_token = Some(now - sent),
-            Some(last) => result.intervals.push(now - last),
+        match last_token_at {
+            None => result.first_token = Some(now - sent_at),
+            Some(last) => result.token_intervals.push(now - last),
         }
-        last = Some(now);
+        last_token_at = Some(now);
     }
     result
 }
 
 /// Returns the wall-clock time at which the engine emitted an event.
-fn emitted_at(data: &str) -> Option<Duration> {
+fn emission_time(data: &str) -> Option<Duration> {
     let event: serde_json::Value = serde_json::from_str(data).ok()?;
     event.get("emitted_us")?.as_u64().map(Duration::from_micros)
 }
--- a/standin/src/load/mod.rs
+++ b/standin/src/load/mod.rs
@@ -20,11 +20,11 @@
 use rand::{Rng, SeedableRng};
 use smol::Timer;
 
-use self::client::{StreamRequest, stream_once};
+use self::client::{StreamRequest, send_streamed_request};
 use self::report::Report;
 
 /// Maximum duration of a load, with its warm-up, in seconds.
-const MOST_SECONDS: u64 = 600;
+const MAX_LOAD_SECONDS: u64 = 600;
 
 /// send streamed requests at a fixed average rate and report latencies
 #[derive(FromArgs, Debug, Clone)]
@@ -79,43 +79,43 @@
             arguments.to
         ));
     }
-    if arguments.seconds + arguments.warm_up > MOST_SECONDS {
+    if arguments.seconds + arguments.warm_up > MAX_LOAD_SECONDS {
         return Err(miette::miette!(
-            "load with its warm-up can last at most {MOST_SECONDS} s"
+            "load with its warm-up can last at most {MAX_LOAD_SECONDS} s"
         ));
     }
-    let report = smol::block_on(send(arguments.clone()));
+    let report = smol::block_on(send_load(arguments.clone()));
     println!("{}", report.table());
     Ok(())
 }
 
-async fn send(arguments: LoadArguments) -> Report {
+async fn send_load(arguments: LoadArguments) -> Report {
     let mut rng = SmallRng::seed_from_u64(arguments.seed);
     let report = Arc::new(Mutex::new(Report::default()));
     let client = shalehinge::utils::http::single_use_client();
     let started = Instant::now();
     let warm_up = Duration::from_secs(arguments.warm_up);
     let end = warm_up + Duration::from_secs(arguments.seconds);
-    let mut next = Duration::ZERO;
+    let mut next_request_at = Duration::ZERO;
     let mut tasks = Vec::new();
-    while next < end {
-        let wait = next.saturating_sub(started.elapsed());
+    while next_request_at < end {
+        let wait = next_request_at.saturating_sub(started.elapsed());
         Timer::after(wait).await;
         let request = StreamRequest::new(&arguments, rng.random());
         let client = client.clone();
-        let is_counted = next >= warm_up;
+        let is_measured = next_request_at >= warm_up;
         let report = report.clone();
         tasks.push(smol::spawn(async move {
-            let result = stream_once(&client, &request).await;
-            if is_counted {
+            let result = send_streamed_request(&client, &request).await;
+            if is_measured {
                 report
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .record(&result);
             }
         }));
-        let gap = -(1.0 - rng.random::<f64>()).ln() / arguments.rate;
-        next += Duration::from_secs_f64(gap);
+        let interval = -(1.0 - rng.random::<f64>()).ln() / arguments.rate;
+        next_request_at += Duration::from_secs_f64(interval);
     }
     for task in tasks {
         task.await;
--- a/standin/src/platform/handler.rs
+++ b/standin/src/platform/handler.rs
@@ -9,11 +9,11 @@
 use trillium::{Conn, Handler, Status};
 use trillium_router::{Router, RouterConnExt};
 
-use super::store::{Fault, Store};
-use crate::server::{query, read_json, write_json};
+use super::store::{PlatformFault, Store};
+use crate::server::{query_parameter, read_json, write_json};
 
 /// Maximum time that a watch request is held open.
-const MOST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Default)]
 struct Platform(Arc<Mutex<Store>>);
@@ -26,9 +26,9 @@
     let list = platform.clone();
     let watch = platform.clone();
     let host = platform.clone();
-    let gone = platform.clone();
+    let remove = platform.clone();
     let fault = platform.clone();
-    let copy = platform.clone();
+    let backup = platform.clone();
     let restore = platform.clone();
     Router::new()
         .get("/v1/objects/:kind/:name", move |conn: Conn| {
@@ -52,7 +52,7 @@
             async move { platform.put_host(conn).await }
         })
         .delete("/admin/hosts/:name", move |conn: Conn| {
-            let platform = gone.clone();
+            let platform = remove.clone();
             async move { platform.delete_host(conn) }
         })
         .put("/admin/fault", move |conn: Conn| {
@@ -60,9 +60,9 @@
             async move { platform.put_fault(conn).await }
         })
         .put("/admin/copy", move |conn: Conn| {
-            let platform = copy.clone();
+            let platform = backup.clone();
             async move {
-                platform.store().take_copy();
+                platform.store().take_backup();
                 conn.with_status(Status::NoContent).halt()
             }
         })
@@ -84,7 +84,7 @@
 }
 
 /// Adds the header with the store's era.
-fn in_era(conn: Conn, store: &Store) -> Conn {
+fn with_era_header(conn: Conn, store: &Store) -> Conn {
     conn.with_response_header(ERA, store.era().to_string())
 }
 
@@ -99,7 +99,7 @@
     }
 
     fn is_down(&self) -> bool {
-        self.store().fault == Fault::Down
+        self.store().fault == PlatformFault::Down
     }
 
     fn get(&self, conn: Conn) -> Conn {
@@ -109,7 +109,7 @@
         let (kind, name) = kind_and_name(&conn);
         let mut store = self.store();
         store.counts.reads += 1;
-        let conn = in_era(conn, &store);
+        let conn = with_era_header(conn, &store);
         match store.get(&kind, &name) {
             Some(object) => write_json(conn, Status::Ok, &object),
             None => conn.with_status(Status::NotFound).halt(),
@@ -118,7 +118,7 @@
 
     async fn put(&self, mut conn: Conn) -> Conn {
         let (kind, name) = kind_and_name(&conn);
-        let expect = query(&conn, "expect").unwrap_or(0);
+        let expected_version = query_parameter(&conn, "expect").unwrap_or(0);
         let Some(value) = read_json::<Value>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
@@ -128,16 +128,16 @@
         let mut store = self.store();
         store.counts.writes += 1;
         store.counts.bytes_written += value.to_string().len() as u64;
-        let era = query(&conn, "era");
+        let era = query_parameter(&conn, "era");
         let result = if era.is_none_or(|era: u32| era == store.era()) {
-            store.put(&kind, &name, expect, value)
+            store.put(&kind, &name, expected_version, value)
         } else {
             Err(store.version(&kind, &name))
         };
-        if store.fault == Fault::LoseAnswers {
+        if store.fault == PlatformFault::LoseAnswers {
             return unavailable(conn);
         }
-        let conn = in_era(conn, &store);
+        let conn = with_era_header(conn, &store);
         match result {
             Ok(version) => write_json(conn, Status::Ok, &WireVersion { version }),
             Err(version) => write_json(conn, Status::Conflict, &WireVersion { version }),
@@ -148,39 +148,42 @@
         if self.is_down() {
             return unavailable(conn);
         }
-        let kinds: String = query(&conn, "kinds").unwrap_or_default();
+        let kinds: String = query_parameter(&conn, "kinds").unwrap_or_default();
         let mut store = self.store();
         store.counts.reads += 1;
-        let list = store.changed(&kinds, 0);
-        write_json(in_era(conn, &store), Status::Ok, &list)
+        let list = store.changed_since(&kinds, 0);
+        write_json(with_era_header(conn, &store), Status::Ok, &list)
     }
 
     async fn watch(&self, conn: Conn) -> Conn {
-        let kinds: String = query(&conn, "kinds").unwrap_or_default();
-        let after = query(&conn, "after").unwrap_or(0);
-        let wait = Duration::from_millis(query(&conn, "wait_ms").unwrap_or(0)).min(MOST_WAIT);
-        let until = Instant::now() + wait;
+        let kinds: String = query_parameter(&conn, "kinds").unwrap_or_default();
+        let after = query_parameter(&conn, "after").unwrap_or(0);
+        let wait = Duration::from_millis(query_parameter(&conn, "wait_ms").unwrap_or(0))
+            .min(MAX_WATCH_WAIT);
+        let deadline = Instant::now() + wait;
         self.store().counts.watches += 1;
         let era = self.store().era();
         loop {
             let next_write = {
                 let mut store = self.store();
-                if store.fault == Fault::Down || store.era() != era {
+                if store.fault == PlatformFault::Down || store.era() != era {
                     return unavailable(conn);
                 }
-                if !store.has_reached(after) {
-                    return in_era(conn, &store).with_status(Status::Gone).halt();
+                if !store.has_reached_revision(after) {
+                    return with_era_header(conn, &store)
+                        .with_status(Status::Gone)
+                        .halt();
                 }
-                let list = store.changed(&kinds, after);
-                if !list.objects.is_empty() || Instant::now() >= until {
-                    return write_json(in_era(conn, &store), Status::Ok, &list);
+                let list = store.changed_since(&kinds, after);
+                if !list.objects.is_empty() || Instant::now() >= deadline {
+                    return write_json(with_era_header(conn, &store), Status::Ok, &list);
                 }
-                store.next_write()
+                store.subscribe_to_next_write()
             };
             // Checks again at least every 500 ms, so that a fault set in the meantime takes
             // effect.
-            let left = until.saturating_duration_since(Instant::now());
-            within(left.min(Duration::from_millis(500)), next_write.recv()).await;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            within(remaining.min(Duration::from_millis(500)), next_write.recv()).await;
         }
     }
 
@@ -206,7 +209,7 @@
     }
 
     async fn put_fault(&self, mut conn: Conn) -> Conn {
-        let Some(fault) = read_json::<Fault>(&mut conn).await else {
+        let Some(fault) = read_json::<PlatformFault>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
         self.store().fault = fault;
--- a/standin/src/platform/mod.rs
+++ b/standin/src/platform/mod.rs
@@ -12,7 +12,7 @@
 use argh::FromArgs;
 use trillium_server_common::ServerHandle;
 
-use crate::server::{announce, serve};
+use crate::server::{print_listen_address, serve};
 
 /// run a stand-in for the platform
 #[derive(FromArgs, Debug)]
@@ -39,7 +39,7 @@
 /// Fails if the address can't be bound.
 pub fn run(arguments: &PlatformArguments) -> miette::Result<()> {
     let (address, handle) = spawn(arguments.listen)?;
-    announce("platform", address);
+    print_listen_address("platform", address);
     handle.block();
     Ok(())
 }
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -9,7 +9,7 @@
 /// Fault that the platform currently shows; set with `PUT /admin/fault`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fault {
+pub enum PlatformFault {
     /// Answers normally.
     #[default]
     None,
@@ -36,13 +36,13 @@
 
 /// Contents of the store, or of a backup of it.
 #[derive(Clone, Debug, Default)]
-struct Content {
+struct StoreContents {
     revision: u64,
-    objects: BTreeMap<(String, String), Stored>,
+    objects: BTreeMap<(String, String), StoredObject>,
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredObject {
     version: u64,
     revision: u64,
     value: Value,
@@ -52,12 +52,12 @@
 #[derive(Debug)]
 pub struct Store {
     /// Injected fault.
-    pub fault: Fault,
+    pub fault: PlatformFault,
     /// Number of calls taken.
     pub counts: CallCounts,
     era: u32,
-    content: Content,
-    copy: Content,
+    contents: StoreContents,
+    backup: StoreContents,
     watchers: Vec<async_channel::Sender<()>>,
 }
 
@@ -65,11 +65,11 @@
     /// Returns an empty store in its first era.
     fn default() -> Self {
         Self {
-            fault: Fault::None,
+            fault: PlatformFault::None,
             counts: CallCounts::default(),
             era: 1,
-            content: Content::default(),
-            copy: Content::default(),
+            contents: StoreContents::default(),
+            backup: StoreContents::default(),
             watchers: Vec::new(),
         }
     }
@@ -79,14 +79,14 @@
     /// Returns an object, or `None` if it doesn't exist.
     pub fn get(&self, kind: &str, name: &str) -> Option<WireObject> {
         let key = (kind.to_owned(), name.to_owned());
-        let stored = self.content.objects.get(&key)?;
-        Some(wire(&key, stored))
+        let stored = self.contents.objects.get(&key)?;
+        Some(to_wire_object(&key, stored))
     }
 
     /// Returns the version of an object; 0 if it doesn't exist.
     pub fn version(&self, kind: &str, name: &str) -> u64 {
         let key = (kind.to_owned(), name.to_owned());
-        self.content.objects.get(&key).map_or(0, |s| s.version)
+        self.contents.objects.get(&key).map_or(0, |s| s.version)
     }
 
     /// Writes an object if it has the expected version (0: it must not exist), and returns its
@@ -95,10 +95,16 @@
     /// # Errors
     ///
     /// Returns the current version if it isn't the expected one.
-    pub fn put(&mut self, kind: &str, name: &str, expect: u64, value: Value) -> Result<u64, u64> {
+    pub fn put(
+        &mut self,
+        kind: &str,
+        name: &str,
+        expected_version: u64,
+        value: Value,
+    ) -> Result<u64, u64> {
         let key = (kind.to_owned(), name.to_owned());
-        let current = self.content.objects.get(&key).map_or(0, |s| s.version);
-        if current != expect {
+        let current = self.contents.objects.get(&key).map_or(0, |s| s.version);
+        if current != expected_version {
             self.counts.conflicts += 1;
             return Err(current);
         }
@@ -110,7 +116,7 @@
     pub fn update(&mut self, kind: &str, name: &str, change: impl FnOnce(&mut Value)) {
         let key = (kind.to_owned(), name.to_owned());
         let mut value = self
-            .content
+            .contents
             .objects
             .get(&key)
             .map_or_else(|| serde_json::json!({"hosts": {}}), |s| s.value.clone());
@@ -119,20 +125,20 @@
     }
 
     fn write(&mut self, key: (String, String), value: Value) -> u64 {
-        let current = self.content.objects.get(&key).map_or(0, |s| s.version);
+        let current = self.contents.objects.get(&key).map_or(0, |s| s.version);
         let version = current + 1;
-        self.content.revision += 1;
-        let stored = Stored {
+        self.contents.revision += 1;
+        let stored = StoredObject {
             version,
-            revision: self.content.revision,
+            revision: self.contents.revision,
             value,
         };
-        self.content.objects.insert(key, stored);
-        self.wake_watchers();
+        self.contents.objects.insert(key, stored);
+        self.notify_watchers();
         version
     }
 
-    fn wake_watchers(&mut self) {
+    fn notify_watchers(&mut self) {
         for watcher in self.watchers.drain(..) {
             let _ = watcher.try_send(());
         }
@@ -144,48 +150,48 @@
     }
 
     /// Replaces the backup with a copy of the current contents.
-    pub fn take_copy(&mut self) {
-        self.copy = self.content.clone();
+    pub fn take_backup(&mut self) {
+        self.backup = self.contents.clone();
     }
 
     /// Restores the contents from the backup. Later writes are lost, and their versions and
     /// revisions are assigned again to new writes.
     pub fn restore(&mut self) {
-        self.content = self.copy.clone();
+        self.contents = self.backup.clone();
         self.era += 1;
-        self.wake_watchers();
+        self.notify_watchers();
     }
 
     /// Whether the store has reached this revision, so that changes after it are known.
-    pub fn has_reached(&self, revision: u64) -> bool {
-        revision <= self.content.revision
+    pub fn has_reached_revision(&self, revision: u64) -> bool {
+        revision <= self.contents.revision
     }
 
     /// Returns the objects of these comma-separated kinds that changed after a revision.
-    pub fn changed(&self, kinds: &str, after: u64) -> WireList {
+    pub fn changed_since(&self, kinds: &str, after: u64) -> WireList {
         let kinds: Vec<&str> = kinds.split(',').collect();
         let objects = self
-            .content
+            .contents
             .objects
             .iter()
             .filter(|((kind, _), stored)| kinds.contains(&kind.as_str()) && stored.revision > after)
-            .map(|(key, stored)| wire(key, stored))
+            .map(|(key, stored)| to_wire_object(key, stored))
             .collect();
         WireList {
-            revision: self.content.revision,
+            revision: self.contents.revision,
             objects,
         }
     }
 
     /// Returns a channel that receives a message on the next write or restore.
-    pub fn next_write(&mut self) -> async_channel::Receiver<()> {
+    pub fn subscribe_to_next_write(&mut self) -> async_channel::Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
         self.watchers.push(sender);
         receiver
     }
 }
 
-fn wire(key: &(String, String), stored: &Stored) -> WireObject {
+fn to_wire_object(key: &(String, String), stored: &StoredObject) -> WireObject {
     WireObject {
         kind: key.0.clone(),
         name: key.1.clone(),
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -9,7 +9,7 @@
 use trillium_server_common::ServerHandle;
 
 /// Maximum size of a request body, in bytes.
-const MAX_BODY: u64 = 16 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Starts a server in the background and returns its bound address and its handle. With port 0,
 /// the operating system chooses the port.
@@ -33,7 +33,7 @@
 /// Reads a JSON request body. Returns `None` if it can't be read, is longer than 16 MiB or
 /// doesn't parse as `T`.
 pub async fn read_json<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
-    let body = conn.request_body().with_max_len(MAX_BODY);
+    let body = conn.request_body().with_max_len(MAX_BODY_BYTES);
     let bytes = body.read_bytes().await.ok()?;
     serde_json::from_slice(&bytes).ok()
 }
@@ -49,7 +49,7 @@
 
 /// Returns a parameter of the query string, or `None` if it is absent or doesn't parse as `T`.
 /// Percent-encoding isn't decoded.
-pub fn query<T: std::str::FromStr>(conn: &Conn, name: &str) -> Option<T> {
+pub fn query_parameter<T: std::str::FromStr>(conn: &Conn, name: &str) -> Option<T> {
     conn.querystring()
         .split('&')
         .filter_map(|pair| pair.split_once('='))
@@ -58,6 +58,6 @@
 }
 
 /// Prints the bound address to standard output, where scripts read it from.
-pub fn announce(what: &str, address: SocketAddr) {
-    println!("{what} listens on {address}");
+pub fn print_listen_address(name: &str, address: SocketAddr) {
+    println!("{name} listens on {address}");
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -14,7 +14,7 @@
 use trillium_router::Router;
 use trillium_server_common::ServerHandle;
 
-use crate::server::{announce, read_json, serve, write_json};
+use crate::server::{print_listen_address, read_json, serve, write_json};
 
 /// run a stand-in for a plain service
 #[derive(FromArgs, Debug)]
@@ -46,7 +46,7 @@
 /// Fails if the address can't be bound.
 pub fn run(arguments: &ServiceArguments) -> miette::Result<()> {
     let (address, handle) = spawn(arguments)?;
-    announce("service", address);
+    print_listen_address("service", address);
     handle.block();
     Ok(())
 }
@@ -65,7 +65,7 @@
 }
 
 /// Key under which `GET /admin/calls` counts the calls rejected with a cooldown.
-pub const TURNED_AWAY: &str = "turned away";
+pub const REJECTED_CALLS: &str = "turned away";
 
 #[derive(Debug, Default)]
 struct State {
@@ -81,24 +81,24 @@
 
 fn handler(delay: Duration) -> impl Handler {
     let state = SharedState::default();
-    let (counted, changed) = (state.clone(), state.clone());
+    let (calls_state, fault_state) = (state.clone(), state.clone());
     let router = Router::new()
         .get("/admin/calls", move |conn: Conn| {
-            let calls = lock(&counted).calls.clone();
+            let calls = lock(&calls_state).calls.clone();
             async move { write_json(conn, Status::Ok, &calls) }
         })
         .put("/admin/fault", move |conn: Conn| {
-            let state = changed.clone();
-            async move { change_fault(conn, state).await }
+            let state = fault_state.clone();
+            async move { set_fault(conn, state).await }
         });
     let echo = move |conn: Conn| {
         let state = state.clone();
-        async move { answer(conn, state, delay).await }
+        async move { echo_call(conn, state, delay).await }
     };
     (router, echo)
 }
 
-async fn change_fault(mut conn: Conn, state: SharedState) -> Conn {
+async fn set_fault(mut conn: Conn, state: SharedState) -> Conn {
     let Some(fault) = read_json::<ServiceFault>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
@@ -106,13 +106,13 @@
     conn.with_status(Status::NoContent).halt()
 }
 
-async fn answer(mut conn: Conn, state: SharedState, delay: Duration) -> Conn {
+async fn echo_call(mut conn: Conn, state: SharedState, delay: Duration) -> Conn {
     if conn.status().is_some() {
         return conn;
     }
     let fault = lock(&state).fault.clone();
     if let ServiceFault::AsksForCooldown(retry_after) = fault {
-        *lock(&state).calls.entry(TURNED_AWAY.into()).or_default() += 1;
+        *lock(&state).calls.entry(REJECTED_CALLS.into()).or_default() += 1;
         return conn
             .with_status(Status::ServiceUnavailable)
             .with_response_header(KnownHeaderName::RetryAfter, retry_after)
