--- a/standin/src/engine/state.rs
+++ b/standin/src/engine/state.rs
@@ -25,8 +25,8 @@
     pub phase: EnginePhase,
     /// Membership in a group, if the host is in one.
     pub membership: Option<GroupMembership>,
-    /// Number of members found ready by the last check, with rank 0 itself; maintained at rank 0
-    /// only, and left at 0 in a group of one host.
+    /// Number of members found ready by the last check, including rank 0 itself; maintained at
+    /// rank 0 only.
     pub members_present: u32,
     /// When rank 0 last checked the other members, by the host's monotonic clock.
     members_checked_at: Duration,
@@ -110,6 +110,7 @@
         }
     }
 
+    /// Joins a group and starts to load its weights, unless this load was already ordered.
     fn load(&mut self, group: GroupNumber, load: LoadCommand) -> Followup {
         let ordered = GroupMembership { group, load };
         if self.membership.as_ref() == Some(&ordered) {
@@ -131,6 +132,8 @@
         }
     }
 
+    /// Leaves the group if this host is a member of it: at once, or with `drain`, once the
+    /// sequences in the batch have completed.
     fn release(&mut self, group: GroupNumber, drain: bool) {
         let is_member = self.membership.as_ref().is_some_and(|m| m.group == group);
         if !is_member {
--- a/standin/src/experiment/fleet.rs
+++ b/standin/src/experiment/fleet.rs
@@ -111,6 +111,7 @@
 /// Queue entry for an event: the earliest comes first, then the one added first.
 struct QueuedEvent {
     at: Duration,
+    /// Order of insertion, for events at the same time.
     number: u64,
     event: Event,
 }
@@ -409,6 +410,7 @@
         })
     }
 
+    /// Carries out the actions that a router returned.
     fn apply_actions(&mut self, router: usize, actions: Vec<RouterAction>) {
         for action in actions {
             match action {
@@ -548,6 +550,7 @@
         );
     }
 
+    /// Ends the engine of a replica; its attempts are reported as lost.
     fn lose_replica(&mut self, index: usize) {
         let engine = &mut self.engines[index];
         engine.is_lost = true;
--- a/standin/src/experiment/routing.rs
+++ b/standin/src/experiment/routing.rs
@@ -264,6 +264,7 @@
     );
 }
 
+/// Runs one simulation and measures it. `load` is a multiple of the capacity of all replicas.
 fn measure(scenario: &Scenario, load: f64, policy: &Policy, seed: u64) -> Measurements {
     let mut rng = SmallRng::seed_from_u64(seed);
     let base_demand = proportional_demand();
@@ -291,6 +292,7 @@
         kv_total: scenario.kv_total,
     };
     let result = simulate_fleet(&spec, &requests, seed);
+    // A slow replica has a quarter of the capacity of the others.
     let effective_engines = if scenario.lost_replicas > 0 {
         (REPLICAS - scenario.lost_replicas) as f64
     } else {
@@ -310,6 +312,7 @@
     )
 }
 
+/// Computes the measurements of a run. `capacity` is in requests per second.
 fn summarise(
     arrivals: &[Arrival],
     result: &FleetResult,
@@ -317,7 +320,7 @@
     capacity: f64,
     demand: &[f64; CUSTOMERS],
 ) -> Measurements {
-    // Leaves out requests whose deadline is after the end of the run.
+    // Leaves out requests whose deadline is after the end of the time over which requests arrive.
     let measured: Vec<_> = result
         .requests
         .iter()
@@ -383,8 +386,8 @@
     }
 }
 
-/// Returns the lowest ratio of goodput to fair share among the customers. All rates are in
-/// requests per second.
+/// Returns the lowest ratio of goodput to fair share among the customers. `goodput` is given per
+/// customer and `rate` is the arrival rate of all customers together, in requests per second.
 fn min_fair_share_ratio(
     goodput: &[f64; CUSTOMERS],
     rate: f64,
--- a/standin/src/load/report.rs
+++ b/standin/src/load/report.rs
@@ -14,9 +14,13 @@
 pub struct Report {
     /// Duration of the measurement, in seconds.
     pub seconds: f64,
+    /// Number of requests sent.
     sent: u64,
+    /// Responses received up to the `[DONE]` event.
     completed: u64,
+    /// Responses with another status than 200.
     refused: u64,
+    /// Requests without a response, and streams that ended without the `[DONE]` event.
     incomplete: u64,
     first_token: Histogram<u64>,
     first_token_transit: Histogram<u64>,
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -37,13 +37,16 @@
 /// Contents of the store, or of a backup of it.
 #[derive(Clone, Debug, Default)]
 struct StoreContents {
+    /// Number of writes of all objects.
     revision: u64,
     objects: BTreeMap<(String, String), StoredObject>,
 }
 
 #[derive(Clone, Debug)]
 struct StoredObject {
+    /// Number of writes of this object.
     version: u64,
+    /// Revision of the store at the last write of this object.
     revision: u64,
     value: Value,
 }
@@ -55,9 +58,11 @@
     pub fault: PlatformFault,
     /// Number of calls taken.
     pub counts: CallCounts,
+    /// Number of restores, plus one.
     era: u32,
     contents: StoreContents,
     backup: StoreContents,
+    /// Channels to notify of the next write or restore.
     watchers: Vec<async_channel::Sender<()>>,
 }
 
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -69,6 +69,7 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Number of calls by idempotency key.
     calls: BTreeMap<String, u64>,
     fault: ServiceFault,
 }
