--- a/standin/src/load/client.rs
+++ b/standin/src/load/client.rs
@@ -1,4 +1,4 @@
-//! One streamed request, with the time of each token.
+//! Client that sends one streamed request and measures the latency of each token.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,28 +13,29 @@
 /// A request to send.
 #[derive(Clone, Debug)]
 pub struct StreamRequest {
-    to: SocketAddr,
+    address: SocketAddr,
     key: String,
     body: String,
 }
 
-/// What came of it.
+/// Result of a streamed request.
 #[derive(Clone, Debug, Default)]
 pub struct StreamResult {
-    /// HTTP status, 0 if there was none.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// Whether the end mark came.
-    pub is_whole: bool,
-    /// From the request to the first token.
+    /// Whether the `[DONE]` event was received.
+    pub is_complete: bool,
+    /// Time from sending the request to the first token.
     pub first_token: Option<Duration>,
-    /// From the engine to here, of each token.
-    pub on_the_way: Vec<Duration>,
-    /// Between each two tokens.
-    pub intervals: Vec<Duration>,
+    /// Time from emission by the engine to receipt, for each token that states when it was
+    /// emitted. Requires both processes to share a wall clock.
+    pub transit_times: Vec<Duration>,
+    /// Times between consecutive tokens.
+    pub token_intervals: Vec<Duration>,
 }
 
 impl StreamRequest {
-    /// A request whose prompt starts differently from all others.
+    /// Returns a request whose prompt starts with `salt`, so that prompts don't share a prefix.
     pub fn new(arguments: &LoadArguments, salt: u64) -> Self {
         let mut prompt = format!("{salt:016x} ");
         while prompt.len() < arguments.prompt_bytes {
@@ -48,19 +49,19 @@
             "messages": [{"role": "user", "content": prompt}],
         });
         Self {
-            to: arguments.to,
+            address: arguments.to,
             key: arguments.key.clone(),
             body: body.to_string(),
         }
     }
 }
 
-/// Sends the request and reads its answer to the end.
-pub async fn stream_once(client: &Client, request: &StreamRequest) -> StreamResult {
+/// Sends a request and reads its response up to the `[DONE]` event or the end of the stream.
+pub async fn send_streamed_request(client: &Client, request: &StreamRequest) -> StreamResult {
     let mut result = StreamResult::default();
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let conn = client
-        .post(url(request.to, "/v1/chat/completions"))
+        .post(url(request.address, "/v1/chat/completions"))
         .with_request_header("authorization", format!("Bearer {}", request.key))
         .with_request_header("content-type", "application/json")
         .with_body(request.body.clone());
@@ -72,29 +73,32 @@
         return result;
     };
     let mut lines = BufReader::new(body).lines();
-    let mut last: Option<Instant> = None;
+    let mut last_token_at: Option<Instant> = None;
     while let Some(Ok(line)) = lines.next().await {
         let Some(data) = line.strip_prefix("data: ") else {
             continue;
         };
         if data == "[DONE]" {
-            result.is_whole = true;
+            result.is_complete = true;
             break;
         }
         let now = Instant::now();
-        if let Some(emitted) = emitted_at(data) {
-            result.on_the_way.push(wall_clock().saturating_sub(emitted));
+        if let Some(emitted_at) = emission_time(data) {
+            result
+                .transit_times
+                .push(wall_clock().saturating_sub(emitted_at));
         }
-        match last {
-            None => result.first_token = Some(now - sent),
-            Some(last) => result.intervals.push(now - last),
+        match last_token_at {
+            None => result.first_token = Some(now - sent_at),
+            Some(last) => result.token_intervals.push(now - last),
         }
-        last = Some(now);
+        last_token_at = Some(now);
     }
     result
 }
 
-fn emitted_at(data: &str) -> Option<Duration> {
+/// Returns the wall-clock time at which the engine emitted an event.
+fn emission_time(data: &str) -> Option<Duration> {
     let event: serde_json::Value = serde_json::from_str(data).ok()?;
     event.get("emitted_us")?.as_u64().map(Duration::from_micros)
 }
