--- a/shalehinge/src/gateway/access.rs
+++ b/shalehinge/src/gateway/access.rs
@@ -1,4 +1,4 @@
-//! Which customer a caller is, by its key.
+//! Authentication: maps a caller's API key to its customer.
 
 use sha2::{Digest, Sha256};
 use trillium::{Conn, KnownHeaderName};
@@ -8,7 +8,8 @@
 use crate::core::operator::hex;
 use crate::core::types::Customer;
 
-/// The key in `Authorization: Bearer`, as SHA-256 in hexadecimal.
+/// Returns the SHA-256 of the key in `Authorization: Bearer KEY`, in hexadecimal, or `None` if
+/// the request has no such header.
 pub fn bearer_sha256(conn: &Conn) -> Option<String> {
     let header = conn
         .request_headers()
@@ -17,7 +18,11 @@
     Some(hex(&Sha256::digest(key.as_bytes())))
 }
 
-/// The customer, or the refusal of an unknown key.
+/// Returns the customer that the caller's key belongs to.
+///
+/// # Errors
+///
+/// Returns the error response for a missing or unknown key.
 pub fn customer(context: &GatewayContext, conn: &Conn) -> Result<Customer, ErrorAnswer> {
     let key = bearer_sha256(conn).ok_or_else(ErrorAnswer::no_key)?;
     let customer = context.driver.read(|_, core| core.customer_of(&key));
--- a/shalehinge/src/gateway/answer.rs
+++ b/shalehinge/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: errors with a stable code, whole answers and streams.
+//! Responses to callers: errors with a stable code, whole responses and streams.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,25 +17,27 @@
 use crate::process::callers::CallerPart;
 use crate::upstream::attempt::{AnswerPart, OutgoingRequest, WholeAnswer};
 
-/// Header that says what became of a request.
+/// Response header with the outcome of the request: `completed`, `failed`, `not_run` or
+/// `unknown`.
 pub const OUTCOME_HEADER: &str = "x-shalehinge-outcome";
-/// Header with the request's number at this daemon.
+/// Response header with the request's number, which is unique within a run of this daemon.
 pub const REQUEST_HEADER: &str = "x-shalehinge-request";
 
-/// An error in the usual form of this API.
+/// An error response in the JSON form that clients of this API expect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ErrorAnswer {
     /// HTTP status.
     pub status: Status,
-    /// Stable code.
+    /// Machine-readable error code, which does not change between versions.
     pub code: &'static str,
-    /// What is wrong and what to do.
+    /// Human-readable description of the error and of what the caller can do.
     pub message: String,
-    /// What became of the request.
+    /// Value of the [`OUTCOME_HEADER`]: `failed`, `not_run` or `unknown`.
     pub outcome: &'static str,
-    /// When to come back.
+    /// Time after which the caller may retry, if a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// The rest of the request can't be read, so the connection ends.
+    /// Whether the connection is closed after the response, because the rest of the request can't
+    /// be read.
     pub closes: bool,
 }
 
@@ -56,7 +58,7 @@
 }
 
 impl ErrorAnswer {
-    /// A request that is wrong in itself and was not run.
+    /// An invalid request, which was not run. The status is 400.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status: Status::BadRequest,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// No key was given.
+    /// The request has no key. The status is 401.
     pub fn no_key() -> Self {
         let message = "no key was given; send it as `Authorization: Bearer KEY`";
         Self {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// The key belongs to nobody.
+    /// The key belongs to no customer. The status is 401.
     pub fn unknown_key() -> Self {
         let message = "this key is not known; ask the operators of the fleet for one";
         Self {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The error for an outcome; `None` if it is none.
+    /// The error response for an outcome, or `None` for a completed request.
     pub fn of(outcome: Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed => None,
@@ -236,7 +238,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// Writes the error as the answer.
+    /// Writes the error to the connection as its response.
     pub fn write(&self, conn: Conn) -> Conn {
         let conn = conn
             .with_status(self.status)
@@ -258,28 +260,28 @@
         .halt()
     }
 
-    /// The error as the last event of a stream.
+    /// The error encoded as the last event of a stream.
     fn event(&self) -> Vec<u8> {
         format!("data: {}\n\n", self.json()).into_bytes()
     }
 }
 
-/// Seconds, rounded up, at least 1.
+/// The duration in seconds, rounded up, at least 1.
 fn whole_seconds(duration: Duration) -> u64 {
     duration.as_millis().div_ceil(1000).max(1) as u64
 }
 
-/// A request that waits for its answer.
+/// A submitted request whose response has not been written yet.
 struct PendingAnswer {
     driver: Arc<Driver>,
     request: RequestId,
     parts: Receiver<CallerPart>,
-    /// Whether it may be broken off when its caller leaves.
+    /// Whether the request is cancelled when its caller disconnects.
     may_abandon: bool,
     came_at: Instant,
 }
 
-/// Submits a request that was read in order, or answers what is wrong with it.
+/// Submits a valid request and writes its response, or writes the error found by validation.
 pub async fn serve(
     context: GatewayContext,
     conn: Conn,
@@ -302,7 +304,8 @@
     pending.write(conn).await
 }
 
-/// Tells the core that a caller left, unless the answer was whole by then.
+/// When dropped, reports to the core that the caller disconnected, unless it was disarmed
+/// because the response was complete.
 pub(super) struct LeaveGuard {
     driver: Arc<Driver>,
     request: RequestId,
@@ -310,7 +313,7 @@
 }
 
 impl LeaveGuard {
-    /// A guard of a request that is to be broken off when its caller leaves.
+    /// Creates an armed guard for a request that is to be cancelled when its caller disconnects.
     pub(super) fn new(driver: Arc<Driver>, request: RequestId) -> Self {
         Self {
             driver,
@@ -319,7 +322,7 @@
         }
     }
 
-    /// The request has its answer.
+    /// Disarms the guard, as the request has its response.
     pub(super) fn disarm(mut self) {
         self.is_armed = false;
     }
@@ -333,14 +336,14 @@
     }
 }
 
-/// What the wait for an answer came to.
+/// What the wait for the first part of a response ended with.
 enum FirstAnswer {
     Stream,
     Whole(Option<WholeAnswer>, Outcome),
 }
 
 impl PendingAnswer {
-    /// Waits for the answer and writes it.
+    /// Waits for the response and writes it to the connection.
     async fn write(self, mut conn: Conn) -> Conn {
         let mut guard = LeaveGuard {
             driver: self.driver.clone(),
@@ -351,7 +354,7 @@
         let first = conn.cancel_on_disconnect(wait_for_first(parts)).await;
         let conn = conn.with_response_header(REQUEST_HEADER, self.request.0.to_string());
         match first {
-            // The caller is gone; the guard says so where that is wanted.
+            // The caller has disconnected; dropping the guard reports it if it is armed.
             None => conn.halt(),
             Some(FirstAnswer::Stream) => {
                 self.driver.metrics.first_output(self.came_at.elapsed());
--- a/shalehinge/src/gateway/chat.rs
+++ b/shalehinge/src/gateway/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`: whole, or as a stream of events.
+//! `POST /v1/chat/completions`, answered in one piece or as a stream of server-sent events.
 
 use std::time::Instant;
 
@@ -14,14 +14,15 @@
 use crate::core::types::{Customer, ModelName};
 use crate::upstream::attempt::{AnswerForm, OutgoingRequest};
 
-/// Path of the call, here and at engines.
+/// Path of chat completions, on this daemon and on engines.
 pub const PATH: &str = "/v1/chat/completions";
-/// Output tokens of a request that names none.
+/// Maximum output tokens of a request that specifies no maximum.
 const DEFAULT_MAX_TOKENS: u32 = 512;
-/// Bytes of a prompt for one token, for estimates.
+/// Estimated bytes of prompt text per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The fields that matter for routing; the engine reads all.
+/// The fields that matter for routing. The body is passed on whole, so the engine sees all
+/// fields.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     model: String,
@@ -39,7 +40,7 @@
     content: serde_json::Value,
 }
 
-/// Serves the call.
+/// Handles a chat completion request.
 pub async fn handle(context: GatewayContext, mut conn: Conn) -> Conn {
     let came_at = Instant::now();
     let prepared = prepare(&context, &mut conn).await;
@@ -108,7 +109,7 @@
     }
 }
 
-/// The prompt as one text; only its start and length matter here.
+/// Concatenates all messages. Routing uses only the start and the length of the result.
 fn prompt_text(chat: &ChatRequest) -> String {
     let mut text = String::new();
     for message in &chat.messages {
--- a/shalehinge/src/gateway/handler.rs
+++ b/shalehinge/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! Which path goes where.
+//! Handlers of the listeners for callers and for readiness checks.
 
 use trillium::{Conn, Handler, Status};
 use trillium_router::Router;
@@ -6,7 +6,8 @@
 use super::{GatewayContext, chat, models, relay, service};
 use crate::upstream::relay::RelayNames;
 
-/// Handles callers.
+/// Handler for callers of the project's own API: chat completions, the list of models, health
+/// and readiness checks, and plain services on all other paths.
 pub fn handler(context: GatewayContext) -> impl Handler {
     let chats = context.clone();
     let lists = context.clone();
@@ -21,7 +22,7 @@
             async move { models::handle(context, conn).await }
         })
         .get("/healthz", |conn: Conn| async move {
-            // The process runs and answers.
+            // A liveness check: the process runs and responds.
             conn.ok("ok\n")
         })
         .get("/readyz", move |conn: Conn| {
@@ -40,7 +41,7 @@
     (router, services)
 }
 
-/// Handles callers whose requests are relayed by routes.
+/// Handler for callers whose requests are relayed by the routes of the configuration.
 pub fn relay_handler(context: GatewayContext, names: RelayNames) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
@@ -48,7 +49,7 @@
     }
 }
 
-/// Answers the balancer.
+/// Handler for readiness checks of the load balancer on their own listener.
 pub fn ready_handler(context: GatewayContext) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
@@ -56,7 +57,7 @@
     }
 }
 
-/// Whether new callers should come here.
+/// Responds with 200 if the load balancer should send new callers here, 503 otherwise.
 fn readiness(context: &GatewayContext, conn: Conn) -> Conn {
     if context.driver.read(|_, core| core.is_ready()) {
         conn.ok("ready\n")
--- a/shalehinge/src/gateway/intake.rs
+++ b/shalehinge/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! Bodies and headers of callers, within their bounds.
+//! Reading and validation of callers' request headers and bodies.
 
 use std::hash::Hasher;
 use std::time::Duration;
@@ -13,34 +13,39 @@
 use crate::settings::daemon::LimitSettings;
 use crate::utils::time::within;
 
-/// Header with the time that the caller has, in milliseconds from now.
+/// Request header with the time until the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the priority, 0 to 9.
+/// Request header with the priority, from 0 to 9.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Header with the request's key: it runs at most once under it.
+/// Request header with an idempotency key: requests of a customer with the same key run at most
+/// once.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header that says that running the request twice would do harm.
+/// Request header that is `true` if running the request twice would do harm.
 pub const NOT_REPEATABLE_HEADER: &str = "x-not-repeatable";
 
-/// Highest priority.
+/// Highest priority that a caller can ask for.
 const MOST_PRIORITY: u8 = 9;
-/// Bytes of a key at most.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// What the headers of a request ask for.
+/// The options that a caller sets by request headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wishes {
-    /// Time for the whole answer.
+    /// Time from now until the whole response must have been sent.
     pub time: Duration,
-    /// Priority, 0 to 9.
+    /// Priority, from 0 to 9.
     pub priority: u8,
-    /// The request's key.
+    /// Hash of the customer and the idempotency key, if a key was given.
     pub key: Option<KeyHash>,
-    /// Whether running it twice does no harm.
+    /// Whether the request may be run more than once.
     pub repeatable: bool,
 }
 
-/// Reads the headers that callers steer a request by.
+/// Reads the options of a request from its headers.
+///
+/// # Errors
+///
+/// Returns an error response with status 400 if one of the headers is invalid.
 pub fn wishes(
     context: &GatewayContext,
     conn: &Conn,
@@ -97,22 +102,32 @@
         })
 }
 
-/// The same on every daemon: a key of one customer is never that of another.
+/// Hashes a key together with its customer, so that equal keys of two customers differ. The hash
+/// is the same on every daemon.
 fn key_hash(customer: &Customer, key: &str) -> KeyHash {
     let mut hasher = SipHasher13::new();
     hasher.write(customer.as_str().as_bytes());
-    // No name or header value has a zero byte, so the parts can't run together.
+    // Customer names and header values contain no zero byte, so it separates them unambiguously.
     hasher.write_u8(0);
     hasher.write(key.as_bytes());
     KeyHash(hasher.finish128().as_u128())
 }
 
-/// Reads the whole body, within its bounds of size and time.
+/// Reads the whole body within the gateway's limits of size and time.
+///
+/// # Errors
+///
+/// See [`read_body`].
 pub async fn body(context: &GatewayContext, conn: &mut Conn) -> Result<Vec<u8>, ErrorAnswer> {
     read_body(&context.limits, conn).await
 }
 
-/// Reads the whole body within these bounds.
+/// Reads the whole body within the given limits of size and time.
+///
+/// # Errors
+///
+/// Returns an error response that closes the connection if the body is too large, does not
+/// arrive in time or is cut off.
 pub async fn read_body(limits: &LimitSettings, conn: &mut Conn) -> Result<Vec<u8>, ErrorAnswer> {
     let body = conn.request_body().with_max_len(limits.max_body_bytes);
     let error = match within(limits.body_timeout, body.read_bytes()).await {
--- a/shalehinge/src/gateway/mod.rs
+++ b/shalehinge/src/gateway/mod.rs
@@ -1,13 +1,13 @@
-//! What callers see: HTTP/1.1 in the form that model users know.
+//! The callers' API: HTTP/1.1 in the form that clients of language models commonly use.
 //!
-//! - `handler`: which path goes where
-//! - `access`: which customer a key belongs to
-//! - `intake`: bodies and headers within their bounds
+//! - `handler`: routing of paths to handlers
+//! - `access`: authentication of callers by API key
+//! - `intake`: reading and validation of request headers and bodies
 //! - `chat`: `POST /v1/chat/completions`
 //! - `models`: `GET /v1/models`
-//! - `service`: plain services
-//! - `relay`: requests that are relayed as they are
-//! - `answer`: answers, streams and errors
+//! - `service`: calls of plain services
+//! - `relay`: requests that are relayed unchanged
+//! - `answer`: error responses, whole responses and streams
 
 pub mod access;
 pub mod answer;
@@ -23,11 +23,11 @@
 use crate::process::Driver;
 use crate::settings::daemon::LimitSettings;
 
-/// What every part of the gateway needs.
+/// Shared state of all request handlers of the gateway.
 #[derive(Clone)]
 pub struct GatewayContext {
-    /// The core and its clients.
+    /// The driver that submits requests to the core.
     pub driver: Arc<Driver>,
-    /// Bounds for callers.
+    /// Size, time and connection limits for callers.
     pub limits: LimitSettings,
 }
--- a/shalehinge/src/gateway/models.rs
+++ b/shalehinge/src/gateway/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`.
+//! `GET /v1/models`: the list of models.
 
 use serde::Serialize;
 use trillium::{Conn, KnownHeaderName};
@@ -18,7 +18,7 @@
     owned_by: String,
 }
 
-/// Lists the models of the configuration in force.
+/// Lists the models of the configuration in force, with the customer that owns each.
 pub async fn handle(context: GatewayContext, conn: Conn) -> Conn {
     if let Err(error) = access::customer(&context, &conn) {
         return error.write(conn);
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that are relayed as they are, by the routes of the configuration.
+//! Requests that are relayed unchanged to the upstreams that the configured routes select.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,14 +23,15 @@
 use crate::upstream::attempt::{AnswerForm, AnswerPart, OutgoingRequest, WholeAnswer};
 use crate::upstream::relay::{AnswerHead, HOP_BY_HOP, RelayNames, RelayPart, StreamPosition};
 
-/// The customer of requests without a key.
+/// Customer that requests without a key are counted under.
 const ANONYMOUS: &str = "anonymous";
-/// When a caller is to come back that came before the daemon knows its routes.
+/// Retry delay for callers that arrive before the daemon has routes in force.
 const NOT_READY_RETRY: Duration = Duration::from_millis(300);
-/// Highest rank of a request; the core counts priorities the other way round.
+/// Highest rank of a request. Priorities in the core run in the opposite direction: rank 0 is
+/// priority 9.
 const MOST_RANK: u8 = 9;
 
-/// An answer of the daemon's own.
+/// A response that the daemon itself generates, with a plain text body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OwnAnswer {
     status: Status,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Relays a request and its answer.
+/// Relays a request to an upstream and the response back to the caller.
 pub async fn handle(context: GatewayContext, names: RelayNames, mut conn: Conn) -> Conn {
     let (meta, outgoing) = match prepare(&context, names, &mut conn).await {
         Ok(prepared) => prepared,
@@ -109,7 +110,7 @@
         .cancel_on_disconnect(wait_for_first(parts.clone()))
         .await;
     match first {
-        // The caller is gone; the guard says so.
+        // The caller has disconnected; dropping the guard reports it.
         None => conn.halt(),
         Some(FirstPart::Head(head)) => write_stream(conn, head, parts, guard),
         Some(FirstPart::Ended(whole, outcome)) => {
@@ -120,7 +121,7 @@
     }
 }
 
-/// What a log line says of a request that came in; its id finds it again.
+/// Text of the log line of a received request. Its id links the line to the caller's own logs.
 fn arrival(meta: &RequestMeta, outgoing: &OutgoingRequest) -> String {
     let id = outgoing
         .relay
@@ -209,12 +210,12 @@
     Ok((meta, outgoing))
 }
 
-/// The time that a route aims at; 0 stands for none.
+/// The target latency of a route; 0 stands for none.
 fn aim_of(target_latency_ms: u64) -> Option<Duration> {
     (target_latency_ms > 0).then(|| Duration::from_millis(target_latency_ms))
 }
 
-/// SHA-256 of the caller's key in hexadecimal, if it sent one.
+/// SHA-256 of the caller's key in hexadecimal, if the request has one.
 fn credential(names: RelayNames, conn: &Conn) -> Option<Credential> {
     let header = conn
         .request_headers()
@@ -223,7 +224,7 @@
     Some(hex(&Sha256::digest(key.as_bytes())).into())
 }
 
-/// A number that follows from the request's id alone.
+/// A hash of the request's id, so that retries by the caller are routed alike.
 fn spread_of(request_id: &str) -> u64 {
     use std::hash::Hasher;
     let mut hasher = siphasher::sip::SipHasher13::new();
@@ -231,7 +232,7 @@
     hasher.finish()
 }
 
-/// A model of the service where it has models, the service itself otherwise.
+/// The model of the service if the configuration has models for it, otherwise the service.
 fn target_of(core: &crate::core::daemon::Daemon, routed: &Routed, model: Option<&str>) -> Target {
     let fleet = core.state().fleet();
     let has_models = fleet.is_some_and(|fleet| {
@@ -244,6 +245,7 @@
     Target::Service(routed.service.clone())
 }
 
+/// Reads the numbers of prompt and maximum output tokens; 0 stands for unknown.
 fn tokens(header: Option<&str>) -> (u32, u32) {
     let mut numbers = header
         .unwrap_or_default()
@@ -253,6 +255,7 @@
     (prompt, numbers.next().unwrap_or(0))
 }
 
+/// Reads the request body of at most `most` bytes.
 async fn body(context: &GatewayContext, conn: &mut Conn, most: u64) -> Result<Vec<u8>, OwnAnswer> {
     let limits = crate::settings::daemon::LimitSettings {
         max_body_bytes: most,
@@ -266,7 +269,8 @@
         })
 }
 
-/// Headers that go on to the upstream.
+/// Request headers that are forwarded to the upstream: all but those of the connection and those
+/// that the daemon sets or evaluates itself.
 fn passed_headers(names: RelayNames, conn: &Conn) -> Vec<(String, String)> {
     let headers = conn.request_headers();
     let of_connection: Vec<String> = headers
@@ -295,7 +299,7 @@
     passed
 }
 
-/// What the wait for an answer came to.
+/// What the wait for the first part of a response ended with.
 enum FirstPart {
     Head(AnswerHead),
     Ended(Option<WholeAnswer>, Outcome),
@@ -342,8 +346,8 @@
     conn.with_status(status)
 }
 
-/// Passes on events as they come. A stream that can't go on ends the connection, so
-/// that the caller sees that it is not whole.
+/// Forwards events as they arrive. If the stream fails, the connection is aborted, so that the
+/// caller can detect that the response is incomplete.
 fn write_stream(
     conn: Conn,
     head: AnswerHead,
@@ -363,8 +367,8 @@
                     if outcome == Outcome::Completed {
                         return None;
                     }
-                    // What came before the break goes out first: the server flushes
-                    // whenever nothing is at hand, and drops the rest on an error.
+                    // Lets events received before the failure go out first: the server flushes
+                    // its buffer whenever the body has nothing ready, and discards it on an error.
                     futures_lite::future::yield_now().await;
                     return Some((Err(broken_off()), None));
                 }
@@ -381,6 +385,6 @@
 fn broken_off() -> std::io::Error {
     std::io::Error::new(
         std::io::ErrorKind::ConnectionAborted,
-        "the stream broke off",
+        "the upstream's stream failed before its end",
     )
 }
--- a/shalehinge/src/gateway/service.rs
+++ b/shalehinge/src/gateway/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: any method, the body passed on unread.
+//! Calls of plain services: any method, with the body forwarded without being parsed.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use crate::core::types::ServiceName;
 use crate::upstream::attempt::{AnswerForm, OutgoingRequest};
 
-/// Headers of callers that are not passed on.
+/// Request headers that are not forwarded to the service.
 const NOT_PASSED: [&str; 10] = [
     "authorization",
     "connection",
@@ -26,7 +26,8 @@
     "upgrade",
 ];
 
-/// Serves a call to a plain service, if its path belongs to one.
+/// Handles a call of the plain service that the path belongs to; responds with 404 if there is
+/// none.
 pub async fn handle(context: GatewayContext, mut conn: Conn) -> Conn {
     let came_at = Instant::now();
     let prepared = prepare(&context, &mut conn).await;
@@ -81,7 +82,7 @@
         .unwrap_or_else(|| ErrorAnswer::bad_request("unknown_path", "there is no such path"))
 }
 
-/// The service with the longest path that the request's path starts with.
+/// Returns the service with the longest path prefix that matches the path.
 fn find(context: &GatewayContext, path: &str) -> Option<(ServiceName, ServiceConfig)> {
     context.driver.read(|_, core| {
         let services = &core.state().fleet()?.value.services;
@@ -93,12 +94,14 @@
     })
 }
 
+/// Whether the service's configuration lists the call as one that must not be repeated.
 fn is_not_repeatable(service: &ServiceConfig, conn: &Conn) -> bool {
     service.not_repeatable.iter().any(|pattern| {
         pattern.method == conn.method().as_str() && conn.path().starts_with(&pattern.path_prefix)
     })
 }
 
+/// Request headers that are forwarded to the service.
 fn passed_headers(conn: &Conn) -> Vec<(String, String)> {
     conn.request_headers()
         .iter()
--- a/shalehinge/src/peer/client.rs
+++ b/shalehinge/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Pulls and notices to peers.
+//! Sends pulls and notices to peers.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use crate::core::types::Address;
 use crate::utils::http::{AnswerLimits, exchange, exchange_within, pooled_client, url};
 
-/// A peer's answer to a pull.
+/// A peer's reply to a pull.
 #[derive(Clone, Debug)]
 pub struct PulledReply {
-    /// What it says.
+    /// The decoded reply.
     pub reply: PullReply,
-    /// Bytes that it took on the way.
+    /// Size of the encoded reply, in bytes.
     pub bytes: usize,
 }
 
-/// A client of all peers.
+/// HTTP client for all peers.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: Client,
@@ -26,7 +26,7 @@
 }
 
 impl PeerClient {
-    /// A client that gives up each call after `timeout`.
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             client: pooled_client(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Pulls from a peer; `None` if no answer came.
+    /// Pulls from a peer; `None` if no valid reply arrived in time.
     pub async fn pull(&self, to: Address, pull: &Pull) -> Option<PulledReply> {
         let body = rmp_serde::to_vec(pull).ok()?;
         let conn = self.client.post(url(to, PULL_PATH)).with_body(body);
@@ -48,7 +48,8 @@
         Some(PulledReply { reply, bytes })
     }
 
-    /// How long the answer may take: what may be large goes on as long as parts of it come.
+    /// Time-outs for a pull. Replies with whole objects may be large, so they may go on for longer
+    /// while data keeps arriving.
     fn limits(&self, topic: PullTopic) -> AnswerLimits {
         match topic {
             PullTopic::WholeObjects => AnswerLimits::of_large(self.timeout, self.timeout),
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Tells a peer that there is something new; a lost notice does no harm.
+    /// Notifies a peer of updates. Errors are ignored, as a lost notice does no harm.
     pub async fn notify(&self, to: Address, notice: &Notice) {
         let Ok(body) = rmp_serde::to_vec(notice) else {
             return;
--- a/shalehinge/src/peer/mod.rs
+++ b/shalehinge/src/peer/mod.rs
@@ -1,12 +1,12 @@
-//! HTTP with MessagePack between daemons.
+//! Communication between daemons, by MessagePack over HTTP.
 //!
-//! - `client`: pulls and notices to peers
-//! - `server`: what peers send to this daemon
+//! - `client`: sends pulls and notices to peers
+//! - `server`: handles pulls and notices from peers
 
 pub mod client;
 pub mod server;
 
-/// Path of pulls.
+/// Path that pulls are posted to.
 pub const PULL_PATH: &str = "/peer/pull";
-/// Path of notices.
+/// Path that notices are posted to.
 pub const NOTICE_PATH: &str = "/peer/notice";
--- a/shalehinge/src/peer/server.rs
+++ b/shalehinge/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! What peers send to this daemon.
+//! Handles pulls and notices from peers.
 
 use std::sync::Arc;
 
@@ -9,11 +9,11 @@
 use crate::core::event::{Event, Notice, Pull};
 use crate::process::Driver;
 
-/// Bytes of a peer's message at most: an object of 1 MB in each failure domain
-/// would still fit.
+/// Maximum size of a peer's message, in bytes. This leaves room for an object of 1 MB from each
+/// failure domain.
 const MAX_MESSAGE: u64 = 16 * 1024 * 1024;
 
-/// Handles peers' messages.
+/// Handler for the listener for peers.
 pub fn handler(driver: Arc<Driver>) -> impl Handler {
     let pulls = driver.clone();
     Router::new()
@@ -48,6 +48,7 @@
     conn.with_status(Status::NoContent).halt()
 }
 
+/// Reads and decodes a message; `None` if it is invalid or too large.
 async fn read<T: serde::de::DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let body = conn.request_body().with_max_len(MAX_MESSAGE);
     let bytes = body.read_bytes().await.ok()?;
--- a/shalehinge/src/process/callers.rs
+++ b/shalehinge/src/process/callers.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for parts of their answers.
+//! Requests in progress whose responses are still being delivered.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,35 +10,35 @@
 use crate::upstream::attempt::{AnswerPart, OutgoingRequest};
 use crate::utils::task::spawn;
 
-/// Parts of an answer that may wait for a slow caller.
+/// Response parts that may be buffered for a slow caller before the attempt is held back.
 const PARTS_WAITING: usize = 256;
 
-/// What the task of a caller is told.
+/// A message to the task that serves a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerPart {
-    /// A part of the answer.
+    /// A part of the response.
     Part(AnswerPart),
-    /// The final outcome; nothing follows.
+    /// The final outcome; no message follows it.
     Ended(Outcome),
 }
 
 /// A request in progress.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Where parts of the answer go.
+    /// Channel to the task that serves the caller.
     pub parts: Sender<CallerPart>,
-    /// What is sent to upstreams.
+    /// The request as it is sent to upstreams.
     pub outgoing: Arc<OutgoingRequest>,
 }
 
-/// All requests in progress.
+/// All requests in progress, by request id.
 #[derive(Debug, Default)]
 pub struct Callers {
     by_request: Mutex<HashMap<RequestId, Caller>>,
 }
 
 impl Callers {
-    /// Adds a request; parts of its answer come out of the receiver.
+    /// Registers a request and returns the channel that delivers its response.
     pub fn add(&self, request: RequestId, outgoing: OutgoingRequest) -> Receiver<CallerPart> {
         let (parts, receiver) = async_channel::bounded(PARTS_WAITING);
         let outgoing = Arc::new(outgoing);
@@ -46,19 +46,20 @@
         receiver
     }
 
-    /// The request, if it is still in progress.
+    /// Returns the request, or `None` if it is no longer in progress.
     pub fn get(&self, request: RequestId) -> Option<Caller> {
         self.lock().get(&request).cloned()
     }
 
-    /// Ends a request with its outcome.
+    /// Removes a request and delivers its outcome.
     pub fn end(&self, request: RequestId, outcome: Outcome) {
         let Some(caller) = self.lock().remove(&request) else {
             return;
         };
         let ended = CallerPart::Ended(outcome);
         if let Err(async_channel::TrySendError::Full(ended)) = caller.parts.try_send(ended) {
-            // A slow caller: its task reads on until it comes to the end.
+            // The channel of a slow caller is full: deliver the outcome once its task has
+            // read the buffered parts.
             let parts = caller.parts;
             spawn(async move {
                 let _ = parts.send(ended).await;
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -1,8 +1,8 @@
-//! Gives events to the core and carries out its actions.
+//! Passes events to the core and executes the actions it returns.
 //!
-//! The core is behind one lock. Actions are started while it is held, so that
-//! they start in the order in which they were decided; each then goes on as a
-//! task of its own and gives its answer back as an event.
+//! The core is protected by one lock. Actions are started while the lock is held, so that
+//! they start in the order in which the core decided them. Each action then runs as its own
+//! task and reports its result as an event.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -33,17 +33,17 @@
 use crate::utils::http::single_use_client;
 use crate::utils::task::spawn;
 
-/// Clients of everything outside.
+/// Clients for everything that the daemon calls, except upstreams of callers' requests.
 pub struct Clients {
-    /// The platform.
+    /// Client for the platform's object store.
     pub platform: Box<dyn PlatformClient>,
-    /// The engines.
+    /// Client for engine statuses and orders.
     pub engines: Box<dyn EngineClient>,
-    /// The peers.
+    /// Client for the other daemons.
     pub peers: PeerClient,
 }
 
-/// The core with everything that its actions need.
+/// The core together with the clients, tasks and channels that its actions need.
 pub struct Driver {
     core: Mutex<Daemon>,
     clock: Clock,
@@ -55,12 +55,12 @@
     pulls: Waiting<PullId, PullReply>,
     next_id: AtomicU64,
     peer_traffic: PeerTraffic,
-    /// Counts and times.
+    /// Metrics of this daemon.
     pub metrics: Metrics,
     stopped: Sender<()>,
 }
 
-/// Those who wait for one answer each.
+/// Tasks that each wait for a single reply, by call id.
 struct Waiting<K, V>(Mutex<HashMap<K, Sender<V>>>);
 
 impl<K: Hash + Eq, V> Waiting<K, V> {
@@ -86,7 +86,7 @@
 }
 
 impl Driver {
-    /// A driver; the receiver hears when the core has stopped.
+    /// Creates a driver and a channel that receives a message when the core has stopped.
     pub fn new(core: Daemon, clients: Clients, metrics: Metrics) -> (Arc<Self>, Receiver<()>) {
         let (stopped, has_stopped) = async_channel::bounded(1);
         let driver = Self {
@@ -106,12 +106,12 @@
         (Arc::new(driver), has_stopped)
     }
 
-    /// The core's time.
+    /// Current time of the core: the time since the driver was created.
     pub fn now(&self) -> Timestamp {
         Timestamp::from_duration(self.clock.elapsed())
     }
 
-    /// Looks at the core.
+    /// Calls a function with the current time and the core, while holding the core's lock.
     pub fn read<T>(&self, look: impl FnOnce(Timestamp, &Daemon) -> T) -> T {
         let now = self.now();
         look(now, &lock(&self.core))
@@ -121,7 +121,7 @@
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Gives an event to the core and starts what it decides.
+    /// Passes an event to the core and starts the actions that it returns.
     pub fn dispatch(self: &Arc<Self>, event: Event) {
         let mut actions = Vec::new();
         let mut core = lock(&self.core);
@@ -132,7 +132,7 @@
         drop(core);
     }
 
-    /// Lets time pass in the core. The tick was due so long ago.
+    /// Passes a tick to the core. `late_by` is the time since the tick was due.
     pub fn tick(self: &Arc<Self>, late_by: Duration) {
         self.metrics.tick_lateness(late_by);
         if let Some(line) = self.peer_traffic.tick(self.now(), late_by) {
@@ -141,7 +141,7 @@
         self.dispatch(Event::Tick);
     }
 
-    /// Takes in a request; parts of its answer come out of the receiver.
+    /// Submits a caller's request and returns its id and the channel that delivers its response.
     pub fn submit(
         self: &Arc<Self>,
         meta: RequestMeta,
@@ -154,7 +154,7 @@
         (request, parts)
     }
 
-    /// Asks the core for an operator.
+    /// Executes an operator call. Returns `None` if the call was dropped without an answer.
     pub async fn operate(self: &Arc<Self>, call: OperatorCall) -> Option<OperatorAnswer> {
         let call_id = OperatorCallId(self.next_id());
         let answer = self.operators.add(call_id);
@@ -162,7 +162,7 @@
         answer.recv().await.ok()
     }
 
-    /// Answers a peer's pull.
+    /// Answers a peer's pull. Returns `None` if the pull was dropped without a reply.
     pub async fn answer_pull(self: &Arc<Self>, pull: Pull) -> Option<PullReply> {
         let pull_id = PullId(self.next_id());
         let reply = self.pulls.add(pull_id);
@@ -283,7 +283,7 @@
     ) {
         self.metrics.count(Counter::Orders);
         self.spawn(|driver| async move {
-            // The last look at the lease before the order goes out.
+            // Last check of the lease before the order is sent.
             let asked_at = driver.now();
             if asked_at >= valid_until {
                 return;
@@ -306,7 +306,8 @@
         self.metrics.count(Counter::Attempts);
         let id = attempt.id;
         let driver = self.clone();
-        // Held until the task is noted: a quick one must find itself there.
+        // Held until the task is registered, because a task that finishes at once must find
+        // its own entry.
         let mut attempts = lock(&self.attempts);
         let task = spawn(async move {
             let sink = PartSink {
@@ -315,7 +316,7 @@
                 parts: caller.parts,
                 told_at: AtomicU64::new(0),
             };
-            // The last look at the evidence before the request goes out.
+            // Last check of the upstream's validity before the request is sent.
             let end = if driver.now() < attempt.valid_until {
                 attempt::run(&driver.upstreams, &attempt, &caller.outgoing, &sink).await
             } else {
@@ -351,20 +352,21 @@
     }
 }
 
-/// Passes parts of an answer on to the caller's task.
+/// Passes response parts of one attempt to the caller's task and reports output to the core.
 struct PartSink {
     driver: Arc<Driver>,
     attempt: Attempt,
     parts: Sender<CallerPart>,
-    /// When the core last heard of output, in milliseconds of its time; 0 before.
+    /// Time of the last report of output to the core, in milliseconds of the core's time;
+    /// 0 before the first report.
     told_at: AtomicU64,
 }
 
-/// The core hears of further output of an attempt at most this often, in milliseconds.
+/// Minimum time between two reports of further output of one attempt, in milliseconds.
 const PROGRESS_INTERVAL: u64 = 100;
 
 impl PartSink {
-    /// Tells the core that output came.
+    /// Reports to the core that output arrived.
     fn tell_core(&self) {
         let now = self.driver.now().as_duration().as_millis() as u64;
         let told_at = self.told_at.load(Ordering::Relaxed);
@@ -382,13 +384,14 @@
 
 impl AnswerSink for PartSink {
     async fn pass(&self, part: AnswerPart) {
-        // A failure may be tried again, so it is no output yet.
+        // A failed attempt may be retried, so its response does not count as output yet.
         let is_failure = matches!(&part, AnswerPart::Whole(whole) if whole.status >= 500);
         if !is_failure {
             self.tell_core();
         }
-        // A caller that left is told of by its own task; the attempt goes on
-        // until the core breaks it off, or to its end where it may not repeat.
+        // A send error means that the caller has disconnected, which the caller's own task
+        // reports. The attempt goes on until the core cancels it, or to its end if the request
+        // must not be repeated.
         let _ = self.parts.send(CallerPart::Part(part)).await;
     }
 
--- a/shalehinge/src/process/mod.rs
+++ b/shalehinge/src/process/mod.rs
@@ -1,9 +1,9 @@
-//! The process round the decisions: sockets, timers and tasks.
+//! The daemon process: sockets, timers and tasks around the core, which decides.
 //!
-//! - `driver`: gives events to the core and carries out its actions
-//! - `callers`: the requests that wait for parts of their answers
-//! - `peer_traffic`: how questions to peers fare
-//! - `run`: starts everything and stops it in order
+//! - `driver`: passes events to the core and executes the actions it returns
+//! - `callers`: requests in progress whose responses are still being delivered
+//! - `peer_traffic`: statistics on pulls from peers
+//! - `run`: starts the daemon and shuts it down
 
 pub mod callers;
 pub mod driver;
--- a/shalehinge/src/process/peer_traffic.rs
+++ b/shalehinge/src/process/peer_traffic.rs
@@ -1,9 +1,9 @@
-//! How questions to peers fare: how many are open, answered or given up, and how many bytes
-//! their answers hold.
+//! Statistics on pulls from peers: how many are open, answered and unanswered, and the size of
+//! the replies.
 //!
-//! A daemon whose link is full of answers does not learn what is new, and looks like one
-//! whose processor or platform is slow. This line and the lateness of the ticks beside it tell
-//! these apart.
+//! A daemon whose link is saturated by replies does not receive updates in time, and looks like
+//! one with a slow processor or a slow platform. The log line of this module reports pulls
+//! together with the delay of the ticks, which tells these cases apart.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
@@ -13,13 +13,13 @@
 use crate::core::types::Timestamp;
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// Time between two lines. One line a second at the most, whatever happens.
+/// Minimum time between two log lines.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes of answers of an interval from which a line is written. An ordinary interval
-/// of a daemon of seventy has some 20 kB.
+/// Bytes of replies in one interval from which a line is logged. The replies of an ordinary
+/// interval amount to about 20 kB in a fleet of seventy daemons.
 const NOTABLE_BYTES: usize = 200_000;
 
-/// Questions of one topic.
+/// Counts of the pulls of one topic.
 #[derive(Clone, Copy, Debug, Default)]
 struct TopicCounts {
     open: u32,
@@ -44,6 +44,7 @@
 }
 
 #[derive(Debug, Default)]
+/// Counts since the last log line.
 struct Interval {
     began_at: Timestamp,
     all: TopicCounts,
@@ -70,7 +71,7 @@
         unanswered > 0 || bytes >= NOTABLE_BYTES
     }
 
-    /// The open ones stay open.
+    /// Starts a new interval; pulls that are still open stay counted as open.
     fn restart(&mut self, now: Timestamp) {
         self.began_at = now;
         self.latest_tick = Duration::ZERO;
@@ -89,18 +90,18 @@
     }
 }
 
-/// Counts the questions to peers of one daemon.
+/// Counts the pulls of one daemon from its peers.
 #[derive(Debug, Default)]
 pub struct PeerTraffic(Mutex<Interval>);
 
 impl PeerTraffic {
-    /// A question is asked.
+    /// Records that a pull was sent.
     pub fn asked(&self, topic: PullTopic, metrics: &Metrics) {
         metrics.count(Counter::Pulls);
         self.lock().of(topic).open += 1;
     }
 
-    /// A question ended: with an answer of so many bytes, or without one.
+    /// Records that a pull ended. `bytes` is the size of the reply, `None` if no reply came.
     pub fn ended(&self, topic: PullTopic, bytes: Option<usize>, metrics: &Metrics) {
         let mut interval = self.lock();
         let counts = interval.of(topic);
@@ -118,8 +119,8 @@
         }
     }
 
-    /// A tick came so much later than it was due. Returns the line of the interval that
-    /// ended, if there is something to say.
+    /// Records a tick and the time by which it was late. Once per interval, returns a log line if
+    /// pulls went unanswered or the replies were large.
     pub fn tick(&self, now: Timestamp, late_by: Duration) -> Option<String> {
         let mut interval = self.lock();
         interval.latest_tick = interval.latest_tick.max(late_by);
--- a/shalehinge/src/process/run.rs
+++ b/shalehinge/src/process/run.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon and stops it in order.
+//! Starts a daemon and shuts it down gracefully.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,12 +27,13 @@
 use crate::utils::time::{wall_clock, within};
 use crate::{gateway, operator_api, peer};
 
-/// Connections of peers and operators at a time.
+/// Maximum number of open connections for each of the operator, peer and readiness listeners.
 const MAX_CONTROL_CONNECTIONS: usize = 1_000;
-/// Bits of an incarnation that are random; those above are from the wall clock.
+/// Number of random low bits of an incarnation; the bits above hold the wall clock in
+/// milliseconds.
 const RANDOM_BITS: u32 = 16;
 
-/// Listeners of a daemon, bound.
+/// The daemon's bound listeners and their addresses.
 struct Listeners {
     callers: smol::net::TcpListener,
     operators: smol::net::TcpListener,
@@ -44,14 +45,19 @@
 }
 
 impl Listeners {
-    /// Where the balancer asks.
+    /// Address on which the load balancer checks readiness.
     fn ready_address(&self) -> SocketAddr {
         let own = self.ready.as_ref().map(|(_, address)| *address);
         own.unwrap_or(self.caller_address)
     }
 }
 
-/// Runs a daemon with the product's own interfaces until it is told to stop.
+/// Runs a daemon with HTTP clients for this project's own platform and engine interfaces, until
+/// it receives a termination signal.
+///
+/// # Errors
+///
+/// Returns an error if one of the listeners can't be bound.
 pub async fn run(settings: Settings) -> Result<(), ListenError> {
     let timeouts = Timeouts::default();
     let clients = Clients {
@@ -65,8 +71,13 @@
     run_with(settings, clients, None).await
 }
 
-/// Runs a daemon with these clients until it is told to stop. With `relay`, callers'
-/// requests are relayed by the routes of the configuration.
+/// Runs a daemon with the given clients until it receives a termination signal. With `relay`,
+/// callers' requests are relayed by the routes of the configuration instead of being served by
+/// the project's own API.
+///
+/// # Errors
+///
+/// Returns an error if one of the listeners can't be bound.
 pub async fn run_with(
     settings: Settings,
     clients: Clients,
@@ -84,7 +95,7 @@
         listeners.peer_address
     );
     let ready_address = listeners.ready_address();
-    log::info!("daemon: tells readiness on {ready_address}");
+    log::info!("daemon: reports readiness on {ready_address}");
     let servers = serve(&settings, &driver, listeners, relay);
     let ticks = spawn(tick(driver.clone()));
     wait_for_signal().await;
@@ -95,7 +106,7 @@
     driver.dispatch(Event::Stop);
     let limit = settings.daemon.limits.stop_within;
     if within(limit, has_stopped.recv()).await.is_none() {
-        log::warn!("daemon: requests are not done within {limit:?}, stops all the same");
+        log::warn!("daemon: requests still in progress after {limit:?}, stopping anyway");
     }
     shut_down(servers, limit).await;
     drop(ticks);
@@ -224,27 +235,29 @@
     }
 }
 
-/// Waits until the daemon is told to stop. A hang-up says that the settings changed;
-/// they are read at the next start.
+/// Waits for SIGTERM or SIGINT. SIGHUP is only logged: changed settings take effect at the next
+/// start.
 async fn wait_for_signal() {
     match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(mut signals) => {
             while let Some(Ok(Signal::Hup)) = signals.next().await {
-                log::info!("daemon: was told that the settings changed");
+                log::info!(
+                    "daemon: received SIGHUP; changed settings take effect at the next start"
+                );
             }
         }
         Err(error) => {
-            log::error!("daemon: signals can't be received: {error}");
+            log::error!("daemon: can't install signal handlers: {error}");
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Lets connections finish what they write, then closes them.
+/// Shuts the servers down one after another, with `limit` for each to finish its connections.
 async fn shut_down(servers: Vec<ServerHandle>, limit: Duration) {
     for server in servers {
         if within(limit, server.shut_down()).await.is_none() {
-            log::warn!("daemon: connections are not done within {limit:?}");
+            log::warn!("daemon: connections still open after {limit:?}");
         }
     }
 }
--- a/shalehinge/src/upstream/attempt.rs
+++ b/shalehinge/src/upstream/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a caller's request, at an engine or a plain service.
 //!
-//! Each attempt has a connection of its own. What comes back is passed on only
-//! if it carries this attempt's id.
+//! Each attempt uses a connection of its own. Responses of engines are passed on only if they
+//! carry this attempt's id.
 
 use std::sync::Arc;
 
@@ -14,88 +14,89 @@
 use crate::core::signal::UpstreamSignal;
 use crate::utils::http::{is_not_connected, url};
 
-/// Header with the attempt's id, sent to and echoed by upstreams.
+/// Header with the attempt's id, sent to upstreams and echoed by them.
 pub const ATTEMPT_HEADER: &str = "x-shalehinge-attempt";
-/// Header with the group that must answer.
+/// Request header with the id of the replica group that must respond.
 pub const GROUP_HEADER: &str = "x-shalehinge-group";
-/// Header with the time left, in milliseconds.
+/// Request header with the time left until the deadline, in milliseconds.
 pub const TIME_LEFT_HEADER: &str = "x-shalehinge-time-left-ms";
-/// Header with the priority.
+/// Request header with the priority, from 0 to 9.
 pub const PRIORITY_HEADER: &str = "x-shalehinge-priority";
-/// Header by which an upstream says that it did not run the request.
+/// Response header by which an engine reports that it did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-shalehinge-not-run";
-/// End of a stream of events.
+/// Start of the line that ends a stream of events.
 pub const STREAM_END: &[u8] = b"data: [DONE]";
 
-/// Bytes of a whole answer at most.
+/// Maximum size of the body of a whole response, in bytes.
 const MAX_WHOLE_ANSWER: u64 = 16 * 1024 * 1024;
-/// Bytes read of a stream at a time.
+/// Maximum number of bytes read from a stream at a time.
 const READ_SIZE: usize = 8 * 1024;
 
-/// A request as it goes to an upstream.
+/// A request as it is sent to upstreams.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path with query.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, shared by all attempts of the request.
     pub body: Arc<[u8]>,
-    /// How the answer is read.
+    /// How the response is read.
     pub answer: AnswerForm,
-    /// Set where the request is relayed as it is.
+    /// Set if the request is relayed unchanged.
     pub relay: Option<RelayPart>,
 }
 
-/// How an answer is read.
+/// How the response to an attempt is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerForm {
-    /// A model's answer in one piece.
+    /// A model's response in one piece.
     Whole,
-    /// A model's answer as a stream of events.
+    /// A model's response as a stream of events.
     Stream,
-    /// A plain service's answer, passed on as it is.
+    /// A plain service's response, forwarded unchanged.
     Service,
 }
 
-/// What an attempt passes on to the caller.
+/// A part of a response that an attempt passes on to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerPart {
-    /// A stream begins.
+    /// The start of a stream.
     StreamBegins,
-    /// A relayed stream begins, with this head.
+    /// The start of a relayed stream, with its status and headers.
     Head(AnswerHead),
-    /// A piece of a stream.
+    /// A chunk of a stream.
     Piece(Vec<u8>),
-    /// A whole answer.
+    /// A whole response.
     Whole(WholeAnswer),
 }
 
-/// An answer in one piece.
+/// A response in one piece.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WholeAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type, if one was given.
     pub content_type: Option<String>,
-    /// All headers that go through, where the answer is relayed.
+    /// Headers to forward to the caller; used only if the response is relayed.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Takes what an attempt passes on.
+/// Receives the response parts and signals of an attempt.
 pub trait AnswerSink {
-    /// Passes on a part; waits while the caller is slow.
+    /// Passes on a part; waits while the caller reads slowly.
     fn pass(&self, part: AnswerPart) -> impl Future<Output = ()> + Send;
 
-    /// Passes on what the head of the answer states about the upstream.
+    /// Reports what the upstream states about itself in its response headers.
     fn on_signal(&self, signal: UpstreamSignal);
 }
 
-/// Makes the attempt.
+/// Sends the request to the upstream of the attempt and passes its response to the sink.
+/// Returns how the attempt ended.
 pub async fn run(
     client: &Client,
     attempt: &Attempt,
@@ -117,7 +118,7 @@
     let echoed = headers.get_str(ATTEMPT_HEADER);
     let is_wrong = match request.answer {
         AnswerForm::Whole | AnswerForm::Stream => echoed != Some(attempt.id.to_string().as_str()),
-        // Plain services need not know the header.
+        // Plain services are not required to echo the header.
         AnswerForm::Service => echoed.is_some_and(|echoed| echoed != attempt.id.to_string()),
     };
     if is_wrong {
@@ -189,7 +190,7 @@
     }
 }
 
-/// Tokens of a whole answer; `None` if it is not one of a model.
+/// Number of output tokens of a whole response, or `None` if the body is not a model's response.
 fn completion_tokens(body: &[u8]) -> Option<u32> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     value.get("choices")?;
@@ -197,7 +198,7 @@
     u32::try_from(tokens).ok()
 }
 
-/// Passes on a stream of events; it is whole only if its end mark came.
+/// Passes on a stream of events. The stream is complete only if the end marker arrived.
 async fn read_stream(mut conn: Conn, sink: &impl AnswerSink) -> AttemptEnd {
     let Some(mut body) = conn.take_response_body() else {
         return AttemptEnd::Lost;
@@ -231,7 +232,7 @@
     }
 }
 
-/// The next piece; empty at the end, `None` if the stream broke.
+/// Reads the next chunk: empty at the end, `None` if the connection failed.
 async fn read_piece(body: &mut ResponseBody<'static>) -> Option<Vec<u8>> {
     let mut piece = vec![0; READ_SIZE];
     let length = body.read(&mut piece).await.ok()?;
@@ -239,7 +240,7 @@
     Some(piece)
 }
 
-/// Counts events of a stream, whose lines may be cut anywhere.
+/// Counts the events of a stream. Chunks may split lines at any byte.
 #[derive(Debug, Default)]
 struct EventCounter {
     line: Vec<u8>,
@@ -248,8 +249,8 @@
 }
 
 impl EventCounter {
-    /// Takes in a piece; says how much of it belongs to the answer, as nothing
-    /// does after the empty line that follows the end mark.
+    /// Processes a chunk and returns how many of its bytes belong to the response, which ends
+    /// with the empty line after the end marker.
     fn feed(&mut self, piece: &[u8]) -> usize {
         for (index, byte) in piece.iter().enumerate() {
             if *byte != b'\n' {
--- a/shalehinge/src/upstream/engine.rs
+++ b/shalehinge/src/upstream/engine.rs
@@ -1,4 +1,5 @@
-//! Status and orders of model engines by JSON over HTTP. See docs/INTERFACES.md.
+//! Client for the statuses and orders of model engines, by JSON over HTTP. See
+//! docs/INTERFACES.md.
 
 use std::time::Duration;
 
@@ -11,12 +12,12 @@
 use crate::core::types::{Address, HostId};
 use crate::utils::http::{exchange, pooled_client, url};
 
-/// Path of the status.
+/// Path of an engine's status.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Path of the orders.
+/// Path that orders are posted to.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// A client of all engines.
+/// HTTP client for all engines.
 #[derive(Clone, Debug)]
 pub struct HttpEngines {
     client: Client,
@@ -24,7 +25,7 @@
 }
 
 impl HttpEngines {
-    /// A client that gives up each call after `timeout`.
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             client: pooled_client(),
@@ -33,6 +34,8 @@
     }
 }
 
+/// Sends a request and parses its JSON response; `None` on a time-out, another status than 200 or
+/// an invalid body.
 async fn read_json<T: DeserializeOwned>(conn: Conn, timeout: Duration) -> Option<T> {
     let (status, body) = exchange(conn, timeout).await?;
     if status != 200 {
--- a/shalehinge/src/upstream/mod.rs
+++ b/shalehinge/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! Upstreams as a daemon calls them. Another binding is one more file here.
+//! Clients for upstreams. Support for another engine protocol is one more module here.
 //!
-//! - `engine`: status and orders of model engines, by JSON over HTTP
+//! - `engine`: statuses and orders of model engines, by JSON over HTTP
 //! - `attempt`: one attempt of a caller's request, at an engine or a plain service
-//! - `presence`: whether anything listens where an upstream was
-//! - `relay`: one attempt of a request that is relayed as it is
-//! - `signal`: what upstreams state about themselves
+//! - `presence`: checks whether anything still listens at an upstream's address
+//! - `relay`: one attempt of a request that is relayed unchanged
+//! - `signal`: what upstreams report about themselves in response headers
 
 pub mod attempt;
 pub mod engine;
@@ -17,11 +17,12 @@
 use crate::core::engine::{EngineStatus, Order, OrderReply};
 use crate::core::types::{Address, HostId};
 
-/// Asks engines for their status and gives them orders; `None` if no answer came.
+/// Requests statuses from engines and sends them orders. Both calls yield `None` if no valid
+/// response arrived.
 pub trait EngineClient: Send + Sync {
-    /// Asks for the status of the engine at an address.
+    /// Requests the status of the engine at an address. `host` is `None` if the host is not known.
     fn status(&self, host: Option<HostId>, address: Address) -> Boxed<Option<EngineStatus>>;
 
-    /// Gives an order to the engine at an address.
+    /// Sends an order to the engine at an address.
     fn order(&self, host: HostId, address: Address, order: Order) -> Boxed<Option<OrderReply>>;
 }
--- a/shalehinge/src/upstream/presence.rs
+++ b/shalehinge/src/upstream/presence.rs
@@ -1,4 +1,4 @@
-//! Whether anything listens where an upstream was.
+//! Checks whether anything still listens at an upstream's address.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::core::types::Address;
 use crate::utils::time::within;
 
-/// Time for a host to refuse a connection. Some hundred round trips; a host that says
-/// nothing for so long is cut off or dark.
+/// Time within which a host must refuse a connection. This is about a hundred round trips; a host
+/// that stays silent for longer is partitioned or down.
 const ANSWERS_WITHIN: Duration = Duration::from_millis(300);
 
-/// Whether the host is there and nothing listens at this address any more. An upstream that
-/// takes the connection, and a host that says nothing, give `false`.
+/// Whether the host is up and refuses connections at this address, so that the upstream's process
+/// has ended. Returns `false` if the connection is accepted or the host does not respond.
 pub async fn refuses_connections(address: Address) -> bool {
     let connected = within(ANSWERS_WITHIN, TcpStream::connect(address)).await;
     matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
--- a/shalehinge/src/upstream/relay.rs
+++ b/shalehinge/src/upstream/relay.rs
@@ -1,10 +1,10 @@
-//! One attempt of a relayed request: everything that is not of one connection goes
-//! through unchanged, both ways.
+//! One attempt of a relayed request. All headers but those of a single connection are forwarded
+//! unchanged in both directions.
 //!
-//! An answer counts only if it names the request, carries the upstream's signature
-//! where it reports success, and is not re-encoded. Streams are passed on event by
-//! event; an event that broke off is dropped, so that another upstream can go on
-//! after the last whole one.
+//! A response is accepted only if it echoes the request's id, carries the upstream's signature if
+//! it reports success, and has no content encoding. Streams are forwarded event by event. An
+//! incomplete event is dropped, so that another upstream can resume the stream after the last
+//! complete one.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -16,19 +16,19 @@
 use crate::core::router::request::{Attempt, AttemptEnd};
 use crate::utils::http::{is_not_connected, url};
 
-/// Bytes of a whole answer at most.
+/// Maximum size of the body of a whole response, in bytes.
 const MAX_WHOLE_ANSWER: u64 = 16 * 1024 * 1024;
-/// Bytes of one event at most.
+/// Maximum size of one event, in bytes.
 const MAX_EVENT: usize = 1024 * 1024;
-/// Bytes read of a stream at a time.
+/// Maximum number of bytes read from a stream at a time.
 const READ_SIZE: usize = 4 * 1024;
-/// Status of an upstream that is not the one that was meant.
+/// Status by which an instance reports that the request was meant for another one.
 const MISDIRECTED: u16 = 421;
-/// Statuses that promise that a request did not run; an upstream's word for it is
-/// the mark alone.
+/// Statuses that tell a caller that the request did not run. An upstream reports this reliably
+/// only by its `not_run` header (or by 421), so these statuses are never forwarded.
 const PROMISES: [u16; 4] = [408, 421, 429, 503];
 
-/// Headers of one connection, which never go through.
+/// Headers that concern a single connection and are never forwarded.
 pub const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "content-length",
@@ -44,44 +44,44 @@
 /// Names of the headers that the relay reads or writes, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayNames {
-    /// Names one request of a caller; upstreams echo it.
+    /// Id of one request of a caller; upstreams echo it.
     pub request_id: &'static str,
-    /// Milliseconds that the caller waits.
+    /// Time until the caller's deadline, in milliseconds.
     pub deadline: &'static str,
-    /// The customer, to upstreams only.
+    /// The customer; sent to upstreams only.
     pub customer: &'static str,
-    /// The host that must answer, to upstreams only.
+    /// The host that must respond; sent to upstreams only.
     pub host: &'static str,
-    /// By this an upstream says that it did not run the request.
+    /// Set by an upstream that did not run the request.
     pub not_run: &'static str,
-    /// The model that the caller wants.
+    /// The model that the caller requests.
     pub model: &'static str,
-    /// Tokens of the prompt and most tokens of the answer, with a comma between.
+    /// Number of prompt tokens and maximum number of output tokens, separated by a comma.
     pub tokens: &'static str,
-    /// Signature of an upstream, without which no success is believed.
+    /// Signature of an upstream; a successful response without it is rejected.
     pub signature: &'static str,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event_id: &'static str,
-    /// What an upstream states about itself.
+    /// Headers by which an upstream reports its own state.
     pub signals: SignalNames,
-    /// Word before the key in `Authorization`.
+    /// Scheme before the key in `Authorization`, with the blank that follows it.
     pub credential_scheme: &'static str,
 }
 
-/// What an attempt of a relayed request needs besides the request.
+/// What an attempt of a relayed request needs besides the request itself.
 #[derive(Clone, Debug)]
 pub struct RelayPart {
     /// Names of headers.
     pub names: RelayNames,
-    /// The request's id, if the caller gave one.
+    /// The request's id, if the caller sent one.
     pub request_id: Option<String>,
     /// The customer, if the request came with a key.
     pub customer: Option<String>,
-    /// How far its stream is.
+    /// Position in the request's stream, shared by all attempts.
     pub position: Arc<StreamPosition>,
 }
 
-/// How far a stream is, over all attempts.
+/// Position in the response stream of a request, across all of its attempts.
 #[derive(Debug, Default)]
 pub struct StreamPosition(Mutex<Position>);
 
@@ -101,16 +101,17 @@
     }
 }
 
-/// Status and headers of an answer, as they go to the caller.
+/// Status and headers of a response, as they are forwarded to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are not of one connection.
+    /// Headers, without those that concern a single connection.
     pub headers: Vec<(String, String)>,
 }
 
-/// Makes the attempt.
+/// Sends the request to the upstream of the attempt and passes its response to the sink.
+/// Returns how the attempt ended.
 pub async fn run(
     client: &Client,
     attempt: &Attempt,
@@ -128,7 +129,7 @@
     };
     let is_success = (200..300).contains(&status);
     let refused = judge_head(&conn, status, relay);
-    // An answer of another upstream, or to another request, states nothing about this one.
+    // A response from another upstream, or to another request, says nothing about this one.
     if refused != Some(AttemptEnd::WrongAnswer) && status != MISDIRECTED {
         sink.on_signal(signal::read(&conn, status, relay.names.signals));
     }
@@ -142,13 +143,13 @@
         return read_stream(conn, status, relay, sink).await;
     }
     if has_begun {
-        // Only events can go on after events.
+        // A stream that has started can only be resumed by more events.
         return AttemptEnd::Failed { status };
     }
     read_whole(conn, status, sink).await
 }
 
-/// What the head alone decides.
+/// Decides how an attempt ends if its response is rejected by status and headers alone.
 fn judge_head(conn: &Conn, status: u16, relay: &RelayPart) -> Option<AttemptEnd> {
     let headers = conn.response_headers();
     let names = relay.names;
@@ -165,7 +166,8 @@
     if is_success && headers.get_str(names.signature).is_none() {
         return Some(AttemptEnd::WrongAnswer);
     }
-    // The caller would take these as a promise that the upstream did not give.
+    // The caller would read these statuses as a guarantee that the request did not run, which
+    // the upstream has not given.
     PROMISES.contains(&status).then_some(AttemptEnd::Lost)
 }
 
@@ -192,7 +194,7 @@
     }
 }
 
-/// Status and headers that go through.
+/// Status and headers that are forwarded to the caller.
 fn head_of(conn: &Conn, status: u16) -> AnswerHead {
     let mut headers = Vec::new();
     for (name, values) in conn.response_headers() {
@@ -230,7 +232,7 @@
     }
 }
 
-/// Passes on a stream, event by event.
+/// Forwards a stream event by event.
 async fn read_stream(
     mut conn: Conn,
     status: u16,
@@ -273,7 +275,7 @@
         return AttemptEnd::Lost;
     }
     if !position.has_head {
-        // A stream without any event is whole as well.
+        // A stream without any event is complete as well.
         position.has_head = true;
         relay.position.set(position);
         sink.pass(AnswerPart::Head(head)).await;
@@ -283,22 +285,22 @@
     }
 }
 
-/// The next bytes; 0 at the end, `None` if the stream broke.
+/// Reads the next bytes: 0 at the end, `None` if the connection failed.
 async fn read_some(body: &mut ResponseBody<'static>, piece: &mut [u8]) -> Option<usize> {
     body.read(piece).await.ok()
 }
 
-/// Cuts a stream into whole events and leaves out those that the caller has.
+/// Splits a stream into complete events and drops those that the caller already has.
 #[derive(Debug, Default)]
 struct EventSplitter {
-    /// The start of an event whose end has not come.
+    /// Start of an event that is not complete yet.
     buffer: Vec<u8>,
     last_event: Option<u64>,
     count: u32,
 }
 
 impl EventSplitter {
-    /// Takes in bytes; returns the events that are whole by now.
+    /// Adds bytes and returns the events that they complete.
     fn feed(&mut self, bytes: &[u8]) -> Vec<u8> {
         const EVENT_END: &[u8] = b"\n\n";
         let searched = self.buffer.len().saturating_sub(EVENT_END.len());
@@ -330,7 +332,7 @@
         .position(|window| window == pattern)
 }
 
-/// The number in an event's `id` line.
+/// Parses the number in an event's `id` line.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|byte| *byte == b'\n')
--- a/shalehinge/src/upstream/signal.rs
+++ b/shalehinge/src/upstream/signal.rs
@@ -1,4 +1,4 @@
-//! Reads what an upstream states about itself from the head of its answer.
+//! Reads what an upstream reports about itself in its response headers.
 
 use std::time::SystemTime;
 
@@ -7,28 +7,28 @@
 use crate::core::named_limit::NamedLimit;
 use crate::core::signal::{LeavingMark, RequestedCooldown, UpstreamSignal};
 
-/// Header by which an overloaded upstream names the requests a second that it takes from all
-/// daemons together, as a decimal number.
+/// Response header with the request rate that an overloaded upstream accepts from all daemons
+/// together, as a decimal number of requests per second.
 pub const LIMIT_HEADER: &str = "x-shalehinge-limit";
-/// Header by which an upstream says that it is leaving, with the value `1`.
+/// Response header with the value `1`, by which an upstream reports that it is shutting down.
 pub const LEAVING_HEADER: &str = "x-shalehinge-leaving";
 
-/// Names of the headers that upstreams use beside `Retry-After`, in lower case.
+/// Names of the signal headers besides `Retry-After`, in lower case.
 #[derive(Clone, Copy, Debug)]
 pub struct SignalNames {
-    /// Requests a second that an overloaded upstream takes from all daemons together.
+    /// Requests per second that an overloaded upstream accepts from all daemons together.
     pub limit: &'static str,
-    /// Marks an upstream that is leaving.
+    /// Reports that the upstream is shutting down.
     pub leaving: &'static str,
 }
 
-/// The names of the product's own interface.
+/// Header names of this project's own interface.
 pub const SIGNAL_NAMES: SignalNames = SignalNames {
     limit: LIMIT_HEADER,
     leaving: LEAVING_HEADER,
 };
 
-/// Reads the head of an answer with this status.
+/// Reads the signals from the headers of a response with the given status.
 pub fn read(conn: &Conn, status: u16, names: SignalNames) -> UpstreamSignal {
     let retry_after = values(conn, KnownHeaderName::RetryAfter);
     UpstreamSignal {
@@ -47,7 +47,8 @@
         .map(|value| value.as_str().unwrap_or_default())
 }
 
-/// The time of the answer by the upstream's own clock, which need not agree with this one.
+/// Time of the response by the upstream's clock, which may differ from the local clock. Falls back
+/// to the local time if there is no valid `Date` header.
 fn answered_at(conn: &Conn) -> SystemTime {
     let date = conn.response_headers().get_str(KnownHeaderName::Date);
     let date = date.and_then(|date| httpdate::parse_http_date(date).ok());
--- a/shalehinge/src/utils/clock.rs
+++ b/shalehinge/src/utils/clock.rs
@@ -1,26 +1,27 @@
-//! The clock that all terms and ages are reckoned on.
+//! The clock by which lease terms and ages are measured.
 
 use std::time::Duration;
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Time since a start, on a clock that goes on while the machine is suspended. The steady clock
-/// of the standard library stands still meanwhile: a lease holder that slept past its term would
-/// go on as if it held it, and keys that were taken away would count for as long as it slept.
+/// Measures the time since its creation, including time during which the machine is suspended.
+/// The standard library's monotonic clock stops during suspension: a lease holder that was
+/// suspended past the end of its term would go on as if it still held the lease, and revoked keys
+/// would stay valid for the time of the suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Duration,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self {
             started: since_boot(),
         }
     }
 
-    /// Time since the start, time of sleep included; never less than before.
+    /// Time since the clock was started, including suspension. The value never decreases.
     pub fn elapsed(&self) -> Duration {
         since_boot().saturating_sub(self.started)
     }
@@ -28,6 +29,6 @@
 
 fn since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
-    // The kernel gives neither below zero.
+    // The kernel never returns negative values here.
     Duration::new(tv_sec.unsigned_abs(), tv_nsec.unsigned_abs() as u32)
 }
--- a/shalehinge/src/utils/http.rs
+++ b/shalehinge/src/utils/http.rs
@@ -1,4 +1,4 @@
-//! HTTP clients and servers, built alike everywhere.
+//! Common configuration of HTTP clients and listeners.
 
 use std::io::{Error, ErrorKind};
 use std::net::{SocketAddr, TcpListener};
@@ -13,11 +13,11 @@
 
 use super::time::within;
 
-/// Time for a TCP connection to be made.
+/// Time-out for establishing a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connects with a limit, and reports every failure to connect in one way, so
-/// that "nothing was sent" can be told from "no answer came".
+/// Connects with a time-out and reports every connection failure by the same error kind, so that
+/// "nothing was sent" can be distinguished from "no response arrived".
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BoundedConnector(ClientConfig);
 
@@ -48,7 +48,8 @@
     }
 }
 
-/// Owns its configuration, so that the future borrows nothing.
+/// Like [`Connector::connect_to`], but takes the configuration by value, so that the future
+/// borrows nothing.
 trait ConnectOwned {
     async fn connect_to_owned(
         self,
@@ -72,48 +73,48 @@
     )
 }
 
-/// Whether a client's error shows that no connection was made, so nothing was sent.
+/// Whether a client error shows that no connection was established, so that nothing was sent.
 pub fn is_not_connected(error: &trillium_client::Error) -> bool {
     matches!(error, trillium_client::Error::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Bodies are always at hand whole, so no server is asked first whether it wants one:
-/// those that don't know `Expect` would cost the wait for an answer to it.
+/// Body size from which the client sends `Expect: 100-continue`. Bodies are always held in memory,
+/// so it is never sent: servers that don't support `Expect` would cost the client a time-out.
 const NEVER_ASK_FIRST: usize = usize::MAX;
 
-/// A client that keeps connections, for calls that are answered whole.
+/// Creates a client that reuses connections, for calls whose response is read to its end.
 pub fn pooled_client() -> Client {
     Client::new(BoundedConnector::default()).with_max_buffered_request_body(NEVER_ASK_FIRST)
 }
 
-/// A client that uses each connection once, for attempts of callers' requests:
-/// what is left of an abandoned one can never reach another request.
+/// Creates a client that uses each connection once, for attempts of callers' requests: the rest of
+/// an abandoned response can then never be taken for the response to another request.
 pub fn single_use_client() -> Client {
     pooled_client().without_keepalive()
 }
 
-/// A URL on an address.
+/// Builds an `http` URL from an address and a path.
 pub fn url(address: SocketAddr, path: &str) -> String {
     format!("http://{address}{path}")
 }
 
-/// Time in which a large answer must be whole, though parts of it go on coming. 1 MB,
-/// the most that the platform keeps in one object, over a twentieth of a link of 20 Mbit/s.
+/// Additional time for a large response to complete while its data keeps arriving: the time that
+/// 1 MB, the platform's maximum object size, takes over a twentieth of a 20 Mbit/s link.
 pub const LARGE_ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long an answer may take.
+/// Time-outs for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerLimits {
-    /// Time until its head comes.
+    /// Maximum time until the head has arrived.
     pub head: Duration,
-    /// Time in which no part of its body comes.
+    /// Maximum time between two chunks of the body.
     pub silence: Duration,
-    /// Time until it is whole.
+    /// Maximum time until the response is complete.
     pub whole: Duration,
 }
 
 impl AnswerLimits {
-    /// All of it within so long.
+    /// The whole response must arrive within `limit`.
     pub fn in_all(limit: Duration) -> Self {
         Self {
             head: limit,
@@ -122,9 +123,9 @@
         }
     }
 
-    /// Its head within `head`; then parts of it must come at intervals of `silence` at most.
-    /// With a limit for the whole, what is too large for a busy link is given up and asked
-    /// for again without end.
+    /// Time-outs for a large response: the head must arrive within `head`, and then chunks of the
+    /// body at intervals of at most `silence`. With `head` as the limit for the whole response,
+    /// one that is too large for a busy link would be abandoned and requested again forever.
     pub fn of_large(head: Duration, silence: Duration) -> Self {
         Self {
             head,
@@ -134,29 +135,31 @@
     }
 }
 
-/// Sends a request and reads its whole answer, if all of it comes in time.
+/// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
+/// response did not arrive completely within `limit`.
 pub async fn exchange(conn: ClientConn, limit: Duration) -> Option<(u16, Vec<u8>)> {
     exchange_within(conn, AnswerLimits::in_all(limit)).await
 }
 
-/// Sends a request and reads its whole answer, as long as it comes within these limits.
+/// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
+/// response did not arrive completely within these time-outs.
 pub async fn exchange_within(conn: ClientConn, limits: AnswerLimits) -> Option<(u16, Vec<u8>)> {
     let answer = exchange_with_headers(conn, limits).await?;
     Some((answer.status, answer.body))
 }
 
-/// An answer that came whole.
+/// A response that was read to its end.
 #[derive(Debug)]
 pub struct WholeAnswer {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its headers.
+    /// Response headers.
     pub headers: Headers,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Like [`exchange_within`], with the headers of the answer.
+/// Like [`exchange_within`], and returns the response headers too.
 pub async fn exchange_with_headers(conn: ClientConn, limits: AnswerLimits) -> Option<WholeAnswer> {
     let whole = async {
         let conn = within(limits.head, conn.into_future()).await?.ok()?;
@@ -167,8 +170,9 @@
     within(limits.whole, whole).await.flatten()
 }
 
-/// An answer that is being read. Its connection is closed unless all of it was: the library
-/// would else read on to use it again, and answers that were given up would fill the link.
+/// A response that is being read. Unless it was read to its end, its connection is closed on drop.
+/// The HTTP library would otherwise read the rest in order to reuse the connection, and abandoned
+/// responses would saturate the link.
 struct Answer(Option<ClientConn>);
 
 impl Answer {
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Gives the connection back, as its answer was read whole.
+    /// Releases the connection for reuse, as the response was read to its end.
     fn into_parts(mut self, body: Vec<u8>) -> Option<WholeAnswer> {
         let conn = self.0.take()?;
         Some(WholeAnswer {
@@ -209,18 +213,23 @@
     }
 }
 
-/// Why a port can't be listened on.
+/// Error of binding a listener.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 #[error("can't listen on {address}: {error}")]
-#[diagnostic(help("choose another port in [listen], or end what holds this one"))]
+#[diagnostic(help("choose another port in [listen], or stop the process that uses this one"))]
 pub struct ListenError {
-    /// The address.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// What the system said.
+    /// The error of the operating system.
     pub error: Error,
 }
 
-/// Binds a listener, so that a taken port is an error and not a panic.
+/// Binds a listener and returns it with its actual address. The socket is bound here and not by
+/// the server library, which would panic if the port is in use.
+///
+/// # Errors
+///
+/// Returns an error if the address can't be bound.
 pub fn bind(address: SocketAddr) -> Result<(smol::net::TcpListener, SocketAddr), ListenError> {
     let bind = || {
         let listener = TcpListener::bind(address)?;
--- a/shalehinge/src/utils/mod.rs
+++ b/shalehinge/src/utils/mod.rs
@@ -1,9 +1,9 @@
-//! Small helpers that belong to no part.
+//! Helpers shared by several modules.
 //!
-//! - `clock`: the clock that all terms and ages are reckoned on
-//! - `http`: clients and servers built alike everywhere
-//! - `task`: tasks side by side
-//! - `time`: waiting with a limit
+//! - `clock`: the clock for lease terms and ages
+//! - `http`: common configuration of HTTP clients and listeners
+//! - `task`: task executor with several threads
+//! - `time`: time-outs and wall clock
 
 pub mod clock;
 pub mod http;
--- a/shalehinge/src/utils/task.rs
+++ b/shalehinge/src/utils/task.rs
@@ -1,7 +1,7 @@
-//! Tasks on an executor of several threads.
+//! Task executor with several threads.
 //!
-//! Tokens of many streams come at once, so they are passed on side by side.
-//! `smol::spawn` has one thread unless the environment says otherwise.
+//! Many streams deliver tokens at the same time, so they are forwarded in parallel. `smol::spawn`
+//! uses a single thread unless the environment sets another number.
 
 use std::future::{Future, pending};
 use std::sync::{LazyLock, OnceLock};
@@ -9,7 +9,7 @@
 
 use smol::Executor;
 
-/// Threads that run tasks, unless another number was set before the first task.
+/// Number of executor threads if [`set_threads`] was not called before the first task.
 const DEFAULT_THREADS: usize = 4;
 
 static THREADS: OnceLock<usize> = OnceLock::new();
@@ -21,12 +21,12 @@
     Executor::new()
 });
 
-/// Sets how many threads run tasks; without effect once the first task was started.
+/// Sets the number of executor threads, at least 1. Has no effect once a task has been started.
 pub fn set_threads(threads: usize) {
     let _ = THREADS.set(threads.max(1));
 }
 
-/// Starts a task; dropping what comes back ends it.
+/// Starts a task. Dropping the returned handle cancels the task.
 pub fn spawn<T: Send + 'static>(future: impl Future<Output = T> + Send + 'static) -> smol::Task<T> {
     EXECUTOR.spawn(future)
 }
--- a/shalehinge/src/utils/time.rs
+++ b/shalehinge/src/utils/time.rs
@@ -1,11 +1,12 @@
-//! Waiting with a limit.
+//! Time-outs and wall clock.
 
 use std::future::Future;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use smol::Timer;
 
-/// The future's output, or `None` once the time is over.
+/// Returns the future's output, or `None` if it is not ready within `limit`. The future is then
+/// dropped.
 pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let in_time = async { Some(future.await) };
     let over = async {
@@ -15,7 +16,8 @@
     futures_lite::future::or(in_time, over).await
 }
 
-/// Wall clock since 1970. For names and ages only, never for safety.
+/// Wall clock time since the Unix epoch. The clock may jump, so the value is used only for names
+/// and for ages that are displayed, never where safety depends on it.
 pub fn wall_clock() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
