--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -763,7 +763,7 @@
     ),
     "no-expect": (
         "shalehinge/src/utils/http.rs",
-        ".with_max_buffered_request_body(NEVER_ASK_FIRST)", "",
+        ".with_max_buffered_request_body(NEVER_EXPECT_CONTINUE)", "",
         "relay", "goes_through_unchanged",
     ),
     "ready-first": (
--- a/shalehinge/src/cli/client.rs
+++ b/shalehinge/src/cli/client.rs
@@ -11,7 +11,7 @@
 use crate::core::operator::{Confirm, OperatorAnswer};
 use crate::operator_api::{CONFIRM_PATH, FleetStatus, PLAN_PATH, STATUS_PATH};
 use crate::utils::http::{is_not_connected, pooled_client, url};
-use crate::utils::time::within;
+use crate::utils::time::with_timeout;
 
 /// Time for one call; a confirm may read back for ten seconds.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -101,7 +101,9 @@
             let body = body.map_err(|_| CallError::NoAnswer(self.daemon))?;
             Ok((status, body))
         };
-        let (status, body) = within(TIMEOUT, whole).await.unwrap_or(Err(no_answer))?;
+        let (status, body) = with_timeout(TIMEOUT, whole)
+            .await
+            .unwrap_or(Err(no_answer))?;
         match status {
             200 => serde_json::from_slice(&body).map_err(|_| CallError::Unreadable),
             401 => Err(CallError::Unauthorized),
--- a/shalehinge/src/gateway/intake.rs
+++ b/shalehinge/src/gateway/intake.rs
@@ -11,7 +11,7 @@
 use crate::core::objects::KeyHash;
 use crate::core::types::Customer;
 use crate::settings::daemon::LimitSettings;
-use crate::utils::time::within;
+use crate::utils::time::with_timeout;
 
 /// Request header with the time until the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
@@ -130,7 +130,7 @@
 /// arrive in time or is cut off.
 pub async fn read_body(limits: &LimitSettings, conn: &mut Conn) -> Result<Vec<u8>, ErrorAnswer> {
     let body = conn.request_body().with_max_len(limits.max_body_bytes);
-    let error = match within(limits.body_timeout, body.read_bytes()).await {
+    let error = match with_timeout(limits.body_timeout, body.read_bytes()).await {
         Some(Ok(bytes)) => return Ok(bytes),
         Some(Err(trillium_http::Error::ReceivedBodyTooLong(_))) => {
             let message = format!("the body may have {} bytes", limits.max_body_bytes);
--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -14,7 +14,7 @@
 use crate::core::objects::{Object, ObjectKey, Versioned};
 use crate::core::platform::{NoAnswer, PlatformCall, PlatformReply, PlatformResult, Scope};
 use crate::core::types::{FailureDomain, StoreEra, Version};
-use crate::utils::http::{AnswerLimits, pooled_client, url};
+use crate::utils::http::{ResponseTimeouts, pooled_client, url};
 
 /// Header of all answers: the era of the store.
 pub const ERA: &str = "x-shalehinge-era";
@@ -121,7 +121,7 @@
     /// Sends a call and reads the whole answer and its era.
     async fn get(&self, key: ObjectKey) -> PlatformResult {
         let conn = self.client.get(self.object_url(&key));
-        let limits = AnswerLimits::in_all(self.timeout);
+        let limits = ResponseTimeouts::uniform(self.timeout);
         let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
         match answer.status {
             200 => {
@@ -148,7 +148,7 @@
         }
         let body = encode(&object).map_err(|_| NoAnswer)?;
         let conn = self.client.put(url).with_body(body);
-        let limits = AnswerLimits::in_all(self.timeout);
+        let limits = ResponseTimeouts::uniform(self.timeout);
         let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
         match answer.status {
             200 => {
@@ -162,7 +162,7 @@
 
     async fn objects(&self, path: String, head: Duration) -> PlatformResult {
         let conn = self.client.get(url(self.address, &path));
-        let limits = AnswerLimits::of_large(head, self.timeout);
+        let limits = ResponseTimeouts::for_large_response(head, self.timeout);
         let (era, answer) = exchange_in_era(conn, limits, ERA).await?;
         match answer.status {
             200 => {
--- a/shalehinge/src/object_api/store_era.rs
+++ b/shalehinge/src/object_api/store_era.rs
@@ -5,7 +5,7 @@
 
 use crate::core::platform::NoAnswer;
 use crate::core::types::StoreEra;
-use crate::utils::http::{AnswerLimits, WholeAnswer, exchange_with_headers};
+use crate::utils::http::{HttpResponse, ResponseTimeouts, exchange_with_headers};
 
 /// Sends a call and reads its whole answer and the era that this header tells.
 ///
@@ -14,9 +14,9 @@
 /// No whole answer came within the limits, or its era can't be read.
 pub async fn exchange_in_era(
     conn: Conn,
-    limits: AnswerLimits,
+    limits: ResponseTimeouts,
     header: &'static str,
-) -> Result<(StoreEra, WholeAnswer), NoAnswer> {
+) -> Result<(StoreEra, HttpResponse), NoAnswer> {
     let answer = exchange_with_headers(conn, limits).await.ok_or(NoAnswer)?;
     Ok((reported_era(&answer.headers, header)?, answer))
 }
--- a/shalehinge/src/peer/client.rs
+++ b/shalehinge/src/peer/client.rs
@@ -7,11 +7,11 @@
 use super::{NOTICE_PATH, PULL_PATH};
 use crate::core::event::{Notice, Pull, PullReply, PullTopic};
 use crate::core::types::Address;
-use crate::utils::http::{AnswerLimits, exchange, exchange_within, pooled_client, url};
+use crate::utils::http::{ResponseTimeouts, exchange, exchange_with_timeouts, pooled_client, url};
 
 /// A peer's reply to a pull.
 #[derive(Clone, Debug)]
-pub struct PulledReply {
+pub struct ReceivedReply {
     /// The decoded reply.
     pub reply: PullReply,
     /// Size of the encoded reply, in bytes.
@@ -35,26 +35,28 @@
     }
 
     /// Pulls from a peer; `None` if no valid reply arrived in time.
-    pub async fn pull(&self, to: Address, pull: &Pull) -> Option<PulledReply> {
+    pub async fn pull(&self, to: Address, pull: &Pull) -> Option<ReceivedReply> {
         let body = rmp_serde::to_vec(pull).ok()?;
         let conn = self.client.post(url(to, PULL_PATH)).with_body(body);
-        let limits = self.limits(pull.topic);
-        let (status, body) = exchange_within(conn, limits).await?;
+        let timeouts = self.timeouts(pull.topic);
+        let (status, body) = exchange_with_timeouts(conn, timeouts).await?;
         if status != 200 {
             return None;
         }
         let reply = rmp_serde::from_slice(&body).ok()?;
         let bytes = body.len();
-        Some(PulledReply { reply, bytes })
+        Some(ReceivedReply { reply, bytes })
     }
 
     /// Time-outs for a pull. Replies with whole objects may be large, so they may go on for longer
     /// while data keeps arriving.
-    fn limits(&self, topic: PullTopic) -> AnswerLimits {
+    fn timeouts(&self, topic: PullTopic) -> ResponseTimeouts {
         match topic {
-            PullTopic::WholeObjects => AnswerLimits::of_large(self.timeout, self.timeout),
+            PullTopic::WholeObjects => {
+                ResponseTimeouts::for_large_response(self.timeout, self.timeout)
+            }
             PullTopic::All | PullTopic::Objects | PullTopic::Moving => {
-                AnswerLimits::in_all(self.timeout)
+                ResponseTimeouts::uniform(self.timeout)
             }
         }
     }
--- a/shalehinge/src/process/run.rs
+++ b/shalehinge/src/process/run.rs
@@ -24,7 +24,7 @@
 use crate::upstream::relay::RelayNames;
 use crate::utils::http::{ListenError, bind};
 use crate::utils::task::{self, spawn};
-use crate::utils::time::{wall_clock, within};
+use crate::utils::time::{wall_clock, with_timeout};
 use crate::{gateway, operator_api, peer};
 
 /// Maximum number of open connections for each of the operator, peer and readiness listeners.
@@ -105,7 +105,7 @@
     }
     driver.dispatch(Event::Stop);
     let limit = settings.daemon.limits.stop_within;
-    if within(limit, has_stopped.recv()).await.is_none() {
+    if with_timeout(limit, has_stopped.recv()).await.is_none() {
         log::warn!("daemon: requests still in progress after {limit:?}, stopping anyway");
     }
     shut_down(servers, limit).await;
@@ -256,7 +256,7 @@
 /// Shuts the servers down one after another, with `limit` for each to finish its connections.
 async fn shut_down(servers: Vec<ServerHandle>, limit: Duration) {
     for server in servers {
-        if within(limit, server.shut_down()).await.is_none() {
+        if with_timeout(limit, server.shut_down()).await.is_none() {
             log::warn!("daemon: connections still open after {limit:?}");
         }
     }
--- a/shalehinge/src/upstream/presence.rs
+++ b/shalehinge/src/upstream/presence.rs
@@ -6,7 +6,7 @@
 use smol::net::TcpStream;
 
 use crate::core::types::Address;
-use crate::utils::time::within;
+use crate::utils::time::with_timeout;
 
 /// Time within which a host must refuse a connection. This is about a hundred round trips; a host
 /// that stays silent for longer is partitioned or down.
@@ -15,6 +15,6 @@
 /// Whether the host is up and refuses connections at this address, so that the upstream's process
 /// has ended. Returns `false` if the connection is accepted or the host does not respond.
 pub async fn refuses_connections(address: Address) -> bool {
-    let connected = within(ANSWERS_WITHIN, TcpStream::connect(address)).await;
+    let connected = with_timeout(ANSWERS_WITHIN, TcpStream::connect(address)).await;
     matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
--- a/shalehinge/src/utils/clock.rs
+++ b/shalehinge/src/utils/clock.rs
@@ -10,24 +10,24 @@
 /// would stay valid for the time of the suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Duration,
+    started_at: Duration,
 }
 
 impl Clock {
     /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self {
-            started: since_boot(),
+            started_at: time_since_boot(),
         }
     }
 
     /// Time since the clock was started, including suspension. The value never decreases.
     pub fn elapsed(&self) -> Duration {
-        since_boot().saturating_sub(self.started)
+        time_since_boot().saturating_sub(self.started_at)
     }
 }
 
-fn since_boot() -> Duration {
+fn time_since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
     // The kernel never returns negative values here.
     Duration::new(tv_sec.unsigned_abs(), tv_nsec.unsigned_abs() as u32)
--- a/shalehinge/src/utils/http.rs
+++ b/shalehinge/src/utils/http.rs
@@ -11,7 +11,7 @@
 use trillium_server_common::{Connector, Destination};
 use trillium_smol::{ClientConfig, SmolRuntime};
 
-use super::time::within;
+use super::time::with_timeout;
 
 /// Time-out for establishing a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -36,7 +36,7 @@
 
     async fn connect_to(&self, destination: Destination) -> std::io::Result<Self::Transport> {
         let connect = self.0.with_nodelay(true).connect_to_owned(destination);
-        match within(CONNECT_TIMEOUT, connect).await {
+        match with_timeout(CONNECT_TIMEOUT, connect).await {
             Some(Ok(transport)) => Ok(transport),
             Some(Err(error)) => Err(not_connected(&error.to_string())),
             None => Err(not_connected("timed out")),
@@ -66,10 +66,10 @@
     }
 }
 
-fn not_connected(why: &str) -> Error {
+fn not_connected(reason: &str) -> Error {
     Error::new(
         ErrorKind::ConnectionRefused,
-        format!("not connected: {why}"),
+        format!("not connected: {reason}"),
     )
 }
 
@@ -80,11 +80,11 @@
 
 /// Body size from which the client sends `Expect: 100-continue`. Bodies are always held in memory,
 /// so it is never sent: servers that don't support `Expect` would cost the client a time-out.
-const NEVER_ASK_FIRST: usize = usize::MAX;
+const NEVER_EXPECT_CONTINUE: usize = usize::MAX;
 
 /// Creates a client that reuses connections, for calls whose response is read to its end.
 pub fn pooled_client() -> Client {
-    Client::new(BoundedConnector::default()).with_max_buffered_request_body(NEVER_ASK_FIRST)
+    Client::new(BoundedConnector::default()).with_max_buffered_request_body(NEVER_EXPECT_CONTINUE)
 }
 
 /// Creates a client that uses each connection once, for attempts of callers' requests: the rest of
@@ -100,37 +100,37 @@
 
 /// Additional time for a large response to complete while its data keeps arriving: the time that
 /// 1 MB, the platform's maximum object size, takes over a twentieth of a 20 Mbit/s link.
-pub const LARGE_ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+pub const LARGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time-outs for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerLimits {
+pub struct ResponseTimeouts {
     /// Maximum time until the head has arrived.
     pub head: Duration,
     /// Maximum time between two chunks of the body.
-    pub silence: Duration,
+    pub idle: Duration,
     /// Maximum time until the response is complete.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
-impl AnswerLimits {
+impl ResponseTimeouts {
     /// The whole response must arrive within `limit`.
-    pub fn in_all(limit: Duration) -> Self {
+    pub fn uniform(limit: Duration) -> Self {
         Self {
             head: limit,
-            silence: limit,
-            whole: limit,
+            idle: limit,
+            total: limit,
         }
     }
 
     /// Time-outs for a large response: the head must arrive within `head`, and then chunks of the
-    /// body at intervals of at most `silence`. With `head` as the limit for the whole response,
+    /// body at intervals of at most `idle`. With `head` as the limit for the whole response,
     /// one that is too large for a busy link would be abandoned and requested again forever.
-    pub fn of_large(head: Duration, silence: Duration) -> Self {
+    pub fn for_large_response(head: Duration, idle: Duration) -> Self {
         Self {
             head,
-            silence,
-            whole: head + LARGE_ANSWER_TIMEOUT,
+            idle,
+            total: head + LARGE_RESPONSE_TIMEOUT,
         }
     }
 }
@@ -138,19 +138,22 @@
 /// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
 /// response did not arrive completely within `limit`.
 pub async fn exchange(conn: ClientConn, limit: Duration) -> Option<(u16, Vec<u8>)> {
-    exchange_within(conn, AnswerLimits::in_all(limit)).await
+    exchange_with_timeouts(conn, ResponseTimeouts::uniform(limit)).await
 }
 
 /// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
 /// response did not arrive completely within these time-outs.
-pub async fn exchange_within(conn: ClientConn, limits: AnswerLimits) -> Option<(u16, Vec<u8>)> {
-    let answer = exchange_with_headers(conn, limits).await?;
-    Some((answer.status, answer.body))
+pub async fn exchange_with_timeouts(
+    conn: ClientConn,
+    timeouts: ResponseTimeouts,
+) -> Option<(u16, Vec<u8>)> {
+    let response = exchange_with_headers(conn, timeouts).await?;
+    Some((response.status, response.body))
 }
 
 /// A response that was read to its end.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct HttpResponse {
     /// HTTP status.
     pub status: u16,
     /// Response headers.
@@ -159,45 +162,50 @@
     pub body: Vec<u8>,
 }
 
-/// Like [`exchange_within`], and returns the response headers too.
-pub async fn exchange_with_headers(conn: ClientConn, limits: AnswerLimits) -> Option<WholeAnswer> {
-    let whole = async {
-        let conn = within(limits.head, conn.into_future()).await?.ok()?;
-        let mut answer = Answer::new(conn);
-        let body = answer.read(limits.silence).await?;
-        answer.into_parts(body)
+/// Like [`exchange_with_timeouts`], and returns the response headers too.
+pub async fn exchange_with_headers(
+    conn: ClientConn,
+    timeouts: ResponseTimeouts,
+) -> Option<HttpResponse> {
+    let receive = async {
+        let conn = with_timeout(timeouts.head, conn.into_future())
+            .await?
+            .ok()?;
+        let mut response = PendingResponse::new(conn);
+        let body = response.read(timeouts.idle).await?;
+        response.into_http_response(body)
     };
-    within(limits.whole, whole).await.flatten()
+    with_timeout(timeouts.total, receive).await.flatten()
 }
 
 /// A response that is being read. Unless it was read to its end, its connection is closed on drop.
 /// The HTTP library would otherwise read the rest in order to reuse the connection, and abandoned
 /// responses would saturate the link.
-struct Answer(Option<ClientConn>);
+struct PendingResponse(Option<ClientConn>);
 
-impl Answer {
+impl PendingResponse {
     fn new(conn: ClientConn) -> Self {
         Self(Some(conn))
     }
 
-    async fn read(&mut self, silence: Duration) -> Option<Vec<u8>> {
-        const PIECE: usize = 16 * 1024;
+    async fn read(&mut self, idle: Duration) -> Option<Vec<u8>> {
+        const CHUNK_SIZE: usize = 16 * 1024;
         let mut body = self.0.as_mut()?.response_body();
-        let mut piece = vec![0; PIECE];
+        let mut chunk = vec![0; CHUNK_SIZE];
         let mut bytes = Vec::new();
         loop {
-            let count = within(silence, body.read(&mut piece)).await?.ok()?;
-            if count == 0 {
+            let length = with_timeout(idle, body.read(&mut chunk)).await?.ok()?;
+            if length == 0 {
                 return Some(bytes);
             }
-            bytes.extend_from_slice(&piece[..count]);
+            bytes.extend_from_slice(&chunk[..length]);
         }
     }
 
     /// Releases the connection for reuse, as the response was read to its end.
-    fn into_parts(mut self, body: Vec<u8>) -> Option<WholeAnswer> {
+    fn into_http_response(mut self, body: Vec<u8>) -> Option<HttpResponse> {
         let conn = self.0.take()?;
-        Some(WholeAnswer {
+        Some(HttpResponse {
             status: u16::from(conn.status()?),
             headers: conn.response_headers().clone(),
             body,
@@ -205,7 +213,7 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         if let Some(conn) = self.0.take() {
             drop(conn.with_request_header(KnownHeaderName::Connection, "close"));
--- a/shalehinge/src/utils/time.rs
+++ b/shalehinge/src/utils/time.rs
@@ -7,13 +7,13 @@
 
 /// Returns the future's output, or `None` if it is not ready within `limit`. The future is then
 /// dropped.
-pub async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
-    let in_time = async { Some(future.await) };
-    let over = async {
+pub async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+    let output = async { Some(future.await) };
+    let timed_out = async {
         Timer::after(limit).await;
         None
     };
-    futures_lite::future::or(in_time, over).await
+    futures_lite::future::or(output, timed_out).await
 }
 
 /// Wall clock time since the Unix epoch. The clock may jump, so the value is used only for names
--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -20,7 +20,7 @@
 };
 use shalehinge::settings::core::CoreSettings;
 use shalehinge::settings::learning::{FeedLayout, LearningSettings};
-use shalehinge::utils::http::LARGE_ANSWER_TIMEOUT;
+use shalehinge::utils::http::LARGE_RESPONSE_TIMEOUT;
 
 use self::platform::{Platform, platform_bytes};
 pub use self::upstreams::{Arrival, TurnedAway};
@@ -412,7 +412,7 @@
 /// How long an answer of a peer may take.
 fn peer_timeout(pull: &Pull) -> Duration {
     match pull.topic {
-        PullTopic::WholeObjects => Timeouts::default().peer + LARGE_ANSWER_TIMEOUT,
+        PullTopic::WholeObjects => Timeouts::default().peer + LARGE_RESPONSE_TIMEOUT,
         PullTopic::All | PullTopic::Objects | PullTopic::Moving => Timeouts::default().peer,
     }
 }
--- a/standin/src/platform/handler.rs
+++ b/standin/src/platform/handler.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use shalehinge::object_api::http::{ERA, WireVersion};
-use shalehinge::utils::time::within;
+use shalehinge::utils::time::with_timeout;
 use trillium::{Conn, Handler, Status};
 use trillium_router::{Router, RouterConnExt};
 
@@ -179,7 +179,7 @@
             };
             // Looks up again at times, so that a fault set meanwhile shows.
             let left = until.saturating_duration_since(Instant::now());
-            within(left.min(Duration::from_millis(500)), next_write.recv()).await;
+            with_timeout(left.min(Duration::from_millis(500)), next_write.recv()).await;
         }
     }
 
