--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -748,13 +748,13 @@
     ),
     "request-id": (
         "shalehinge/src/upstream/relay.rs",
-        "if is_other || headers", "if headers",
+        "if is_for_other_request || headers", "if headers",
         "relay", "wrong_answers",
     ),
     "promise": (
         "shalehinge/src/upstream/relay.rs",
-        "PROMISES.contains(&status).then_some(AttemptEnd::Lost)",
-        "PROMISES.contains(&status).then_some(AttemptEnd::Refused)",
+        "NOT_RUN_STATUSES\n        .contains(&status)\n        .then_some(AttemptEnd::Lost)",
+        "NOT_RUN_STATUSES\n        .contains(&status)\n        .then_some(AttemptEnd::Refused)",
         "relay", "wrong_answers",
     ),
     "key-stays": (
--- a/shalehinge/src/gateway/answer.rs
+++ b/shalehinge/src/gateway/answer.rs
@@ -15,7 +15,7 @@
 use crate::core::types::RequestId;
 use crate::process::Driver;
 use crate::process::callers::CallerPart;
-use crate::upstream::attempt::{AnswerPart, OutgoingRequest, WholeAnswer};
+use crate::upstream::attempt::{OutgoingRequest, ResponsePart, WholeResponse};
 
 /// Response header with the outcome of the request: `completed`, `failed`, `not_run` or
 /// `unknown`.
@@ -339,7 +339,7 @@
 /// What the wait for the first part of a response ended with.
 enum FirstAnswer {
     Stream,
-    Whole(Option<WholeAnswer>, Outcome),
+    Whole(Option<WholeResponse>, Outcome),
 }
 
 impl PendingAnswer {
@@ -373,9 +373,9 @@
     let mut whole = None;
     loop {
         match parts.recv().await {
-            Ok(CallerPart::Part(AnswerPart::StreamBegins)) => return FirstAnswer::Stream,
-            Ok(CallerPart::Part(AnswerPart::Whole(answer))) => whole = Some(answer),
-            Ok(CallerPart::Part(AnswerPart::Piece(_) | AnswerPart::Head(_))) => {}
+            Ok(CallerPart::Part(ResponsePart::StreamStart)) => return FirstAnswer::Stream,
+            Ok(CallerPart::Part(ResponsePart::Whole(answer))) => whole = Some(answer),
+            Ok(CallerPart::Part(ResponsePart::Chunk(_) | ResponsePart::Head(_))) => {}
             Ok(CallerPart::Ended(outcome)) => return FirstAnswer::Whole(whole, outcome),
             Err(_) => {
                 let reason = UnknownReason::Lost;
@@ -385,7 +385,7 @@
     }
 }
 
-fn write_whole(conn: Conn, whole: Option<WholeAnswer>, outcome: Outcome) -> Conn {
+fn write_whole(conn: Conn, whole: Option<WholeResponse>, outcome: Outcome) -> Conn {
     let passes_body = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
     let Some(whole) = whole.filter(|_| passes_body) else {
         let error = ErrorAnswer::of(outcome);
@@ -412,7 +412,7 @@
         let (parts, mut guard) = state?;
         loop {
             match parts.recv().await {
-                Ok(CallerPart::Part(AnswerPart::Piece(piece))) => {
+                Ok(CallerPart::Part(ResponsePart::Chunk(piece))) => {
                     return Some((Ok::<_, std::io::Error>(piece), Some((parts, guard))));
                 }
                 Ok(CallerPart::Part(_)) => {}
--- a/shalehinge/src/gateway/chat.rs
+++ b/shalehinge/src/gateway/chat.rs
@@ -12,7 +12,7 @@
 use crate::core::router::prefix;
 use crate::core::router::request::{RequestMeta, Target};
 use crate::core::types::{Customer, ModelName};
-use crate::upstream::attempt::{AnswerForm, OutgoingRequest};
+use crate::upstream::attempt::{OutgoingRequest, ResponseMode};
 
 /// Path of chat completions, on this daemon and on engines.
 pub const PATH: &str = "/v1/chat/completions";
@@ -61,10 +61,10 @@
         path: PATH.to_owned(),
         headers: vec![("content-type".into(), "application/json".into())],
         body: body.into(),
-        answer: if chat.stream {
-            AnswerForm::Stream
+        response_mode: if chat.stream {
+            ResponseMode::Stream
         } else {
-            AnswerForm::Whole
+            ResponseMode::Whole
         },
         relay: None,
     };
--- a/shalehinge/src/gateway/handler.rs
+++ b/shalehinge/src/gateway/handler.rs
@@ -4,7 +4,7 @@
 use trillium_router::Router;
 
 use super::{GatewayContext, chat, models, relay, service};
-use crate::upstream::relay::RelayNames;
+use crate::upstream::relay::RelayHeaderNames;
 
 /// Handler for callers of the project's own API: chat completions, the list of models, health
 /// and readiness checks, and plain services on all other paths.
@@ -42,7 +42,7 @@
 }
 
 /// Handler for callers whose requests are relayed by the routes of the configuration.
-pub fn relay_handler(context: GatewayContext, names: RelayNames) -> impl Handler {
+pub fn relay_handler(context: GatewayContext, names: RelayHeaderNames) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
         async move { relay::handle(context, names, conn).await }
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -20,8 +20,10 @@
 use crate::core::routes::{RouteQuery, RouteRefusal, Routed, model_of_service};
 use crate::core::types::Customer;
 use crate::process::callers::CallerPart;
-use crate::upstream::attempt::{AnswerForm, AnswerPart, OutgoingRequest, WholeAnswer};
-use crate::upstream::relay::{AnswerHead, HOP_BY_HOP, RelayNames, RelayPart, StreamPosition};
+use crate::upstream::attempt::{OutgoingRequest, ResponseMode, ResponsePart, WholeResponse};
+use crate::upstream::relay::{
+    HOP_BY_HOP_HEADERS, RelayContext, RelayHeaderNames, ResponseHead, StreamPosition,
+};
 
 /// Customer that requests without a key are counted under.
 const ANONYMOUS: &str = "anonymous";
@@ -97,7 +99,7 @@
 }
 
 /// Relays a request to an upstream and the response back to the caller.
-pub async fn handle(context: GatewayContext, names: RelayNames, mut conn: Conn) -> Conn {
+pub async fn handle(context: GatewayContext, names: RelayHeaderNames, mut conn: Conn) -> Conn {
     let (meta, outgoing) = match prepare(&context, names, &mut conn).await {
         Ok(prepared) => prepared,
         Err(answer) => return answer.write(conn),
@@ -140,7 +142,7 @@
 
 async fn prepare(
     context: &GatewayContext,
-    names: RelayNames,
+    names: RelayHeaderNames,
     conn: &mut Conn,
 ) -> Result<(RequestMeta, OutgoingRequest), OwnAnswer> {
     let came_at = context.driver.now();
@@ -199,8 +201,8 @@
         path: conn.path_and_query().to_owned(),
         headers: passed,
         body: body.into(),
-        answer: AnswerForm::Service,
-        relay: Some(RelayPart {
+        response_mode: ResponseMode::Service,
+        relay: Some(RelayContext {
             names,
             request_id,
             customer: customer.map(|customer| customer.to_string()),
@@ -216,7 +218,7 @@
 }
 
 /// SHA-256 of the caller's key in hexadecimal, if the request has one.
-fn credential(names: RelayNames, conn: &Conn) -> Option<Credential> {
+fn credential(names: RelayHeaderNames, conn: &Conn) -> Option<Credential> {
     let header = conn
         .request_headers()
         .get_str(KnownHeaderName::Authorization)?;
@@ -271,7 +273,7 @@
 
 /// Request headers that are forwarded to the upstream: all but those of the connection and those
 /// that the daemon sets or evaluates itself.
-fn passed_headers(names: RelayNames, conn: &Conn) -> Vec<(String, String)> {
+fn passed_headers(names: RelayHeaderNames, conn: &Conn) -> Vec<(String, String)> {
     let headers = conn.request_headers();
     let of_connection: Vec<String> = headers
         .get_str(KnownHeaderName::Connection)
@@ -284,7 +286,7 @@
     for (name, values) in headers {
         let name = name.to_string();
         let lower = name.to_ascii_lowercase();
-        let stays = HOP_BY_HOP.contains(&lower.as_str())
+        let stays = HOP_BY_HOP_HEADERS.contains(&lower.as_str())
             || own.contains(&lower.as_str())
             || of_connection.contains(&lower);
         if stays {
@@ -301,17 +303,17 @@
 
 /// What the wait for the first part of a response ended with.
 enum FirstPart {
-    Head(AnswerHead),
-    Ended(Option<WholeAnswer>, Outcome),
+    Head(ResponseHead),
+    Ended(Option<WholeResponse>, Outcome),
 }
 
 async fn wait_for_first(parts: Receiver<CallerPart>) -> FirstPart {
     let mut whole = None;
     loop {
         match parts.recv().await {
-            Ok(CallerPart::Part(AnswerPart::Head(head))) => return FirstPart::Head(head),
-            Ok(CallerPart::Part(AnswerPart::Whole(answer))) => whole = Some(answer),
-            Ok(CallerPart::Part(AnswerPart::StreamBegins | AnswerPart::Piece(_))) => {}
+            Ok(CallerPart::Part(ResponsePart::Head(head))) => return FirstPart::Head(head),
+            Ok(CallerPart::Part(ResponsePart::Whole(answer))) => whole = Some(answer),
+            Ok(CallerPart::Part(ResponsePart::StreamStart | ResponsePart::Chunk(_))) => {}
             Ok(CallerPart::Ended(outcome)) => return FirstPart::Ended(whole, outcome),
             Err(_) => {
                 let reason = UnknownReason::Lost;
@@ -321,7 +323,7 @@
     }
 }
 
-fn write_whole(conn: Conn, whole: Option<WholeAnswer>, outcome: Outcome, closes: bool) -> Conn {
+fn write_whole(conn: Conn, whole: Option<WholeResponse>, outcome: Outcome, closes: bool) -> Conn {
     let passes = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
     let Some(whole) = whole.filter(|_| passes) else {
         let own = OwnAnswer {
@@ -350,7 +352,7 @@
 /// caller can detect that the response is incomplete.
 fn write_stream(
     conn: Conn,
-    head: AnswerHead,
+    head: ResponseHead,
     parts: Receiver<CallerPart>,
     guard: LeaveGuard,
 ) -> Conn {
@@ -358,7 +360,7 @@
         let (parts, guard) = state?;
         loop {
             match parts.recv().await {
-                Ok(CallerPart::Part(AnswerPart::Piece(piece))) => {
+                Ok(CallerPart::Part(ResponsePart::Chunk(piece))) => {
                     return Some((Ok(piece), Some((parts, guard))));
                 }
                 Ok(CallerPart::Part(_)) => {}
--- a/shalehinge/src/gateway/service.rs
+++ b/shalehinge/src/gateway/service.rs
@@ -10,7 +10,7 @@
 use crate::core::objects::ServiceConfig;
 use crate::core::router::request::{NotRunReason, Outcome, RequestMeta, Target};
 use crate::core::types::ServiceName;
-use crate::upstream::attempt::{AnswerForm, OutgoingRequest};
+use crate::upstream::attempt::{OutgoingRequest, ResponseMode};
 
 /// Request headers that are not forwarded to the service.
 const NOT_PASSED: [&str; 10] = [
@@ -67,7 +67,7 @@
         path: conn.path_and_query().to_owned(),
         headers: passed_headers(conn),
         body: body.into(),
-        answer: AnswerForm::Service,
+        response_mode: ResponseMode::Service,
         relay: None,
     };
     Ok((meta, outgoing))
--- a/shalehinge/src/process/callers.rs
+++ b/shalehinge/src/process/callers.rs
@@ -7,7 +7,7 @@
 
 use crate::core::router::request::Outcome;
 use crate::core::types::RequestId;
-use crate::upstream::attempt::{AnswerPart, OutgoingRequest};
+use crate::upstream::attempt::{OutgoingRequest, ResponsePart};
 use crate::utils::task::spawn;
 
 /// Response parts that may be buffered for a slow caller before the attempt is held back.
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerPart {
     /// A part of the response.
-    Part(AnswerPart),
+    Part(ResponsePart),
     /// The final outcome; no message follows it.
     Ended(Outcome),
 }
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -27,8 +27,8 @@
 use crate::telemetry::logs;
 use crate::telemetry::metrics::{Counter, Metrics};
 use crate::upstream::EngineClient;
-use crate::upstream::attempt::{self, AnswerPart, AnswerSink, OutgoingRequest};
-use crate::upstream::presence;
+use crate::upstream::attempt::{self, OutgoingRequest, ResponsePart, ResponseSink};
+use crate::upstream::connection_check;
 use crate::utils::clock::Clock;
 use crate::utils::http::single_use_client;
 use crate::utils::task::spawn;
@@ -199,7 +199,7 @@
             }
             Action::CheckUpstream { upstream, address } => {
                 self.spawn(|driver| async move {
-                    let is_gone = presence::refuses_connections(address).await;
+                    let is_gone = connection_check::refuses_connections(address).await;
                     driver.dispatch(Event::UpstreamChecked { upstream, is_gone });
                 });
             }
@@ -382,10 +382,10 @@
     }
 }
 
-impl AnswerSink for PartSink {
-    async fn pass(&self, part: AnswerPart) {
+impl ResponseSink for PartSink {
+    async fn pass(&self, part: ResponsePart) {
         // A failed attempt may be retried, so its response does not count as output yet.
-        let is_failure = matches!(&part, AnswerPart::Whole(whole) if whole.status >= 500);
+        let is_failure = matches!(&part, ResponsePart::Whole(whole) if whole.status >= 500);
         if !is_failure {
             self.tell_core();
         }
--- a/shalehinge/src/process/run.rs
+++ b/shalehinge/src/process/run.rs
@@ -20,8 +20,8 @@
 use crate::peer::client::PeerClient;
 use crate::settings::Settings;
 use crate::telemetry::metrics::Metrics;
-use crate::upstream::engine::HttpEngines;
-use crate::upstream::relay::RelayNames;
+use crate::upstream::engine::HttpEngineClient;
+use crate::upstream::relay::RelayHeaderNames;
 use crate::utils::http::{ListenError, bind};
 use crate::utils::task::{self, spawn};
 use crate::utils::time::{wall_clock, with_timeout};
@@ -65,7 +65,7 @@
             settings.daemon.platform,
             timeouts.platform,
         )),
-        engines: Box::new(HttpEngines::new(timeouts.engine)),
+        engines: Box::new(HttpEngineClient::new(timeouts.engine)),
         peers: PeerClient::new(timeouts.peer),
     };
     run_with(settings, clients, None).await
@@ -81,7 +81,7 @@
 pub async fn run_with(
     settings: Settings,
     clients: Clients,
-    relay: Option<RelayNames>,
+    relay: Option<RelayHeaderNames>,
 ) -> Result<(), ListenError> {
     task::set_threads(settings.daemon.threads);
     let listeners = listen(&settings)?;
@@ -160,7 +160,7 @@
     settings: &Settings,
     driver: &Arc<Driver>,
     listeners: Listeners,
-    relay: Option<RelayNames>,
+    relay: Option<RelayHeaderNames>,
 ) -> Vec<ServerHandle> {
     let limits = settings.daemon.limits;
     let context = GatewayContext {
--- a/shalehinge/src/upstream/attempt.rs
+++ b/shalehinge/src/upstream/attempt.rs
@@ -8,8 +8,8 @@
 use futures_lite::AsyncReadExt;
 use trillium_client::{Client, Conn, Method, ResponseBody};
 
-use super::relay::{self, AnswerHead, RelayPart};
-use super::signal::{self, SIGNAL_NAMES};
+use super::relay::{self, RelayContext, ResponseHead};
+use super::signal::{self, SIGNAL_HEADER_NAMES};
 use crate::core::router::request::{Attempt, AttemptEnd};
 use crate::core::signal::UpstreamSignal;
 use crate::utils::http::{is_not_connected, url};
@@ -25,10 +25,10 @@
 /// Response header by which an engine reports that it did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-shalehinge-not-run";
 /// Start of the line that ends a stream of events.
-pub const STREAM_END: &[u8] = b"data: [DONE]";
+pub const STREAM_END_MARKER: &[u8] = b"data: [DONE]";
 
 /// Maximum size of the body of a whole response, in bytes.
-const MAX_WHOLE_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 /// Maximum number of bytes read from a stream at a time.
 const READ_SIZE: usize = 8 * 1024;
 
@@ -44,14 +44,14 @@
     /// Body, shared by all attempts of the request.
     pub body: Arc<[u8]>,
     /// How the response is read.
-    pub answer: AnswerForm,
+    pub response_mode: ResponseMode,
     /// Set if the request is relayed unchanged.
-    pub relay: Option<RelayPart>,
+    pub relay: Option<RelayContext>,
 }
 
 /// How the response to an attempt is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
+pub enum ResponseMode {
     /// A model's response in one piece.
     Whole,
     /// A model's response as a stream of events.
@@ -62,20 +62,20 @@
 
 /// A part of a response that an attempt passes on to the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AnswerPart {
+pub enum ResponsePart {
     /// The start of a stream.
-    StreamBegins,
+    StreamStart,
     /// The start of a relayed stream, with its status and headers.
-    Head(AnswerHead),
+    Head(ResponseHead),
     /// A chunk of a stream.
-    Piece(Vec<u8>),
+    Chunk(Vec<u8>),
     /// A whole response.
-    Whole(WholeAnswer),
+    Whole(WholeResponse),
 }
 
 /// A response in one piece.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WholeAnswer {
+pub struct WholeResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if one was given.
@@ -87,9 +87,9 @@
 }
 
 /// Receives the response parts and signals of an attempt.
-pub trait AnswerSink {
+pub trait ResponseSink {
     /// Passes on a part; waits while the caller reads slowly.
-    fn pass(&self, part: AnswerPart) -> impl Future<Output = ()> + Send;
+    fn pass(&self, part: ResponsePart) -> impl Future<Output = ()> + Send;
 
     /// Reports what the upstream states about itself in its response headers.
     fn on_signal(&self, signal: UpstreamSignal);
@@ -101,12 +101,12 @@
     client: &Client,
     attempt: &Attempt,
     request: &OutgoingRequest,
-    sink: &impl AnswerSink,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
     if let Some(relay) = &request.relay {
         return relay::run(client, attempt, request, relay, sink).await;
     }
-    let conn = match build(client, attempt, request).await {
+    let conn = match build_request(client, attempt, request).await {
         Ok(conn) => conn,
         Err(error) if is_not_connected(&error) => return AttemptEnd::NotSent,
         Err(_) => return AttemptEnd::Lost,
@@ -116,27 +116,29 @@
     };
     let headers = conn.response_headers();
     let echoed = headers.get_str(ATTEMPT_HEADER);
-    let is_wrong = match request.answer {
-        AnswerForm::Whole | AnswerForm::Stream => echoed != Some(attempt.id.to_string().as_str()),
+    let has_wrong_id = match request.response_mode {
+        ResponseMode::Whole | ResponseMode::Stream => {
+            echoed != Some(attempt.id.to_string().as_str())
+        }
         // Plain services are not required to echo the header.
-        AnswerForm::Service => echoed.is_some_and(|echoed| echoed != attempt.id.to_string()),
+        ResponseMode::Service => echoed.is_some_and(|echoed| echoed != attempt.id.to_string()),
     };
-    if is_wrong {
+    if has_wrong_id {
         return AttemptEnd::WrongAnswer;
     }
     let is_success = (200..300).contains(&status);
-    sink.on_signal(signal::read(&conn, status, SIGNAL_NAMES));
-    let is_engine = request.answer != AnswerForm::Service;
+    sink.on_signal(signal::read(&conn, status, SIGNAL_HEADER_NAMES));
+    let is_engine = request.response_mode != ResponseMode::Service;
     if is_engine && headers.get_str(NOT_RUN_HEADER).is_some() {
         return AttemptEnd::Refused;
     }
-    if request.answer == AnswerForm::Stream && is_success {
+    if request.response_mode == ResponseMode::Stream && is_success {
         return read_stream(conn, sink).await;
     }
     read_whole(conn, status, is_engine, sink).await
 }
 
-fn build(client: &Client, attempt: &Attempt, request: &OutgoingRequest) -> Conn {
+fn build_request(client: &Client, attempt: &Attempt, request: &OutgoingRequest) -> Conn {
     let mut conn = client
         .build_conn(request.method, url(attempt.address, &request.path))
         .with_body(request.body.to_vec());
@@ -158,13 +160,13 @@
     mut conn: Conn,
     status: u16,
     is_engine: bool,
-    sink: &impl AnswerSink,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
     let content_type = conn
         .response_headers()
         .get_str("content-type")
         .map(str::to_owned);
-    let body = conn.response_body().with_max_len(MAX_WHOLE_ANSWER);
+    let body = conn.response_body().with_max_len(MAX_RESPONSE_BYTES);
     let Ok(body) = body.read_bytes().await else {
         return AttemptEnd::Lost;
     };
@@ -176,13 +178,13 @@
         };
         output_tokens = tokens;
     }
-    let answer = WholeAnswer {
+    let response = WholeResponse {
         status,
         content_type,
         headers: Vec::new(),
         body,
     };
-    sink.pass(AnswerPart::Whole(answer)).await;
+    sink.pass(ResponsePart::Whole(response)).await;
     if is_success || (!is_engine && status < 500) {
         AttemptEnd::Completed { output_tokens }
     } else {
@@ -199,26 +201,26 @@
 }
 
 /// Passes on a stream of events. The stream is complete only if the end marker arrived.
-async fn read_stream(mut conn: Conn, sink: &impl AnswerSink) -> AttemptEnd {
+async fn read_stream(mut conn: Conn, sink: &impl ResponseSink) -> AttemptEnd {
     let Some(mut body) = conn.take_response_body() else {
         return AttemptEnd::Lost;
     };
     let mut events = EventCounter::default();
-    let mut has_begun = false;
+    let mut has_started = false;
     loop {
-        let Some(mut piece) = read_piece(&mut body).await else {
+        let Some(mut chunk) = read_chunk(&mut body).await else {
             return AttemptEnd::Lost;
         };
-        if piece.is_empty() {
+        if chunk.is_empty() {
             break;
         }
-        let own = events.feed(&piece);
-        piece.truncate(own);
-        if !has_begun {
-            has_begun = true;
-            sink.pass(AnswerPart::StreamBegins).await;
+        let length = events.feed(&chunk);
+        chunk.truncate(length);
+        if !has_started {
+            has_started = true;
+            sink.pass(ResponsePart::StreamStart).await;
         }
-        sink.pass(AnswerPart::Piece(piece)).await;
+        sink.pass(ResponsePart::Chunk(chunk)).await;
         if events.has_ended {
             break;
         }
@@ -233,11 +235,11 @@
 }
 
 /// Reads the next chunk: empty at the end, `None` if the connection failed.
-async fn read_piece(body: &mut ResponseBody<'static>) -> Option<Vec<u8>> {
-    let mut piece = vec![0; READ_SIZE];
-    let length = body.read(&mut piece).await.ok()?;
-    piece.truncate(length);
-    Some(piece)
+async fn read_chunk(body: &mut ResponseBody<'static>) -> Option<Vec<u8>> {
+    let mut chunk = vec![0; READ_SIZE];
+    let length = body.read(&mut chunk).await.ok()?;
+    chunk.truncate(length);
+    Some(chunk)
 }
 
 /// Counts the events of a stream. Chunks may split lines at any byte.
@@ -251,24 +253,24 @@
 impl EventCounter {
     /// Processes a chunk and returns how many of its bytes belong to the response, which ends
     /// with the empty line after the end marker.
-    fn feed(&mut self, piece: &[u8]) -> usize {
-        for (index, byte) in piece.iter().enumerate() {
+    fn feed(&mut self, chunk: &[u8]) -> usize {
+        for (index, byte) in chunk.iter().enumerate() {
             if *byte != b'\n' {
                 self.line.push(*byte);
                 continue;
             }
             self.end_line();
             if self.has_ended {
-                let has_empty_line = piece.get(index + 1) == Some(&b'\n');
+                let has_empty_line = chunk.get(index + 1) == Some(&b'\n');
                 return index + 1 + usize::from(has_empty_line);
             }
         }
-        piece.len()
+        chunk.len()
     }
 
     fn end_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if line.starts_with(STREAM_END) {
+        if line.starts_with(STREAM_END_MARKER) {
             self.has_ended = true;
         } else if line.starts_with(b"data:") {
             self.tokens += 1;
--- a/shalehinge/src/upstream/presence.rs
+++ b/shalehinge/src/upstream/connection_check.rs
@@ -10,11 +10,11 @@
 
 /// Time within which a host must refuse a connection. This is about a hundred round trips; a host
 /// that stays silent for longer is partitioned or down.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(300);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Whether the host is up and refuses connections at this address, so that the upstream's process
 /// has ended. Returns `false` if the connection is accepted or the host does not respond.
 pub async fn refuses_connections(address: Address) -> bool {
-    let connected = with_timeout(ANSWERS_WITHIN, TcpStream::connect(address)).await;
-    matches!(connected, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
+    let connection = with_timeout(REFUSAL_TIMEOUT, TcpStream::connect(address)).await;
+    matches!(connection, Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
--- a/shalehinge/src/upstream/engine.rs
+++ b/shalehinge/src/upstream/engine.rs
@@ -19,12 +19,12 @@
 
 /// HTTP client for all engines.
 #[derive(Clone, Debug)]
-pub struct HttpEngines {
+pub struct HttpEngineClient {
     client: Client,
     timeout: Duration,
 }
 
-impl HttpEngines {
+impl HttpEngineClient {
     /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
@@ -44,7 +44,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-impl EngineClient for HttpEngines {
+impl EngineClient for HttpEngineClient {
     fn status(&self, _host: Option<HostId>, address: Address) -> Boxed<Option<EngineStatus>> {
         let conn = self.client.get(url(address, STATUS_PATH));
         Box::pin(read_json(conn, self.timeout))
--- a/shalehinge/src/upstream/mod.rs
+++ b/shalehinge/src/upstream/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! - `engine`: statuses and orders of model engines, by JSON over HTTP
 //! - `attempt`: one attempt of a caller's request, at an engine or a plain service
-//! - `presence`: checks whether anything still listens at an upstream's address
+//! - `connection_check`: checks whether anything still listens at an upstream's address
 //! - `relay`: one attempt of a request that is relayed unchanged
 //! - `signal`: what upstreams report about themselves in response headers
 
 pub mod attempt;
+pub mod connection_check;
 pub mod engine;
-pub mod presence;
 pub mod relay;
 pub mod signal;
 
--- a/shalehinge/src/upstream/relay.rs
+++ b/shalehinge/src/upstream/relay.rs
@@ -11,25 +11,25 @@
 use futures_lite::AsyncReadExt;
 use trillium_client::{Client, Conn, ResponseBody};
 
-use super::attempt::{AnswerPart, AnswerSink, OutgoingRequest, WholeAnswer};
-use super::signal::{self, SignalNames};
+use super::attempt::{OutgoingRequest, ResponsePart, ResponseSink, WholeResponse};
+use super::signal::{self, SignalHeaderNames};
 use crate::core::router::request::{Attempt, AttemptEnd};
 use crate::utils::http::{is_not_connected, url};
 
 /// Maximum size of the body of a whole response, in bytes.
-const MAX_WHOLE_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
 /// Maximum size of one event, in bytes.
-const MAX_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// Maximum number of bytes read from a stream at a time.
 const READ_SIZE: usize = 4 * 1024;
 /// Status by which an instance reports that the request was meant for another one.
-const MISDIRECTED: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 /// Statuses that tell a caller that the request did not run. An upstream reports this reliably
 /// only by its `not_run` header (or by 421), so these statuses are never forwarded.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Headers that concern a single connection and are never forwarded.
-pub const HOP_BY_HOP: [&str; 9] = [
+pub const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
     "expect",
@@ -43,7 +43,7 @@
 
 /// Names of the headers that the relay reads or writes, in lower case.
 #[derive(Clone, Copy, Debug)]
-pub struct RelayNames {
+pub struct RelayHeaderNames {
     /// Id of one request of a caller; upstreams echo it.
     pub request_id: &'static str,
     /// Time until the caller's deadline, in milliseconds.
@@ -63,16 +63,16 @@
     /// Id of the last event that the caller has received.
     pub last_event_id: &'static str,
     /// Headers by which an upstream reports its own state.
-    pub signals: SignalNames,
+    pub signals: SignalHeaderNames,
     /// Scheme before the key in `Authorization`, with the blank that follows it.
     pub credential_scheme: &'static str,
 }
 
 /// What an attempt of a relayed request needs besides the request itself.
 #[derive(Clone, Debug)]
-pub struct RelayPart {
+pub struct RelayContext {
     /// Names of headers.
-    pub names: RelayNames,
+    pub names: RelayHeaderNames,
     /// The request's id, if the caller sent one.
     pub request_id: Option<String>,
     /// The customer, if the request came with a key.
@@ -103,7 +103,7 @@
 
 /// Status and headers of a response, as they are forwarded to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Headers, without those that concern a single connection.
@@ -116,10 +116,10 @@
     client: &Client,
     attempt: &Attempt,
     request: &OutgoingRequest,
-    relay: &RelayPart,
-    sink: &impl AnswerSink,
+    relay: &RelayContext,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
-    let conn = match build(client, attempt, request, relay).await {
+    let conn = match build_request(client, attempt, request, relay).await {
         Ok(conn) => conn,
         Err(error) if is_not_connected(&error) => return AttemptEnd::NotSent,
         Err(_) => return AttemptEnd::Lost,
@@ -128,21 +128,21 @@
         return AttemptEnd::Lost;
     };
     let is_success = (200..300).contains(&status);
-    let refused = judge_head(&conn, status, relay);
+    let rejection = rejection_by_head(&conn, status, relay);
     // A response from another upstream, or to another request, says nothing about this one.
-    if refused != Some(AttemptEnd::WrongAnswer) && status != MISDIRECTED {
+    if rejection != Some(AttemptEnd::WrongAnswer) && status != MISDIRECTED_REQUEST {
         sink.on_signal(signal::read(&conn, status, relay.names.signals));
     }
-    if let Some(end) = refused {
+    if let Some(end) = rejection {
         return end;
     }
     let content_type = conn.response_headers().get_str("content-type");
     let is_stream = content_type.is_some_and(|kind| kind.starts_with("text/event-stream"));
-    let has_begun = relay.position.get().has_head;
+    let has_started = relay.position.get().has_head;
     if is_success && is_stream {
         return read_stream(conn, status, relay, sink).await;
     }
-    if has_begun {
+    if has_started {
         // A stream that has started can only be resumed by more events.
         return AttemptEnd::Failed { status };
     }
@@ -150,16 +150,16 @@
 }
 
 /// Decides how an attempt ends if its response is rejected by status and headers alone.
-fn judge_head(conn: &Conn, status: u16, relay: &RelayPart) -> Option<AttemptEnd> {
+fn rejection_by_head(conn: &Conn, status: u16, relay: &RelayContext) -> Option<AttemptEnd> {
     let headers = conn.response_headers();
     let names = relay.names;
     let echoed = headers.get_str(names.request_id);
-    let is_other = relay.request_id.is_some() && echoed != relay.request_id.as_deref();
-    let says_not_run = headers.get_str(names.not_run).is_some() || status == MISDIRECTED;
-    if says_not_run && (echoed.is_none() || !is_other) {
+    let is_for_other_request = relay.request_id.is_some() && echoed != relay.request_id.as_deref();
+    let reports_not_run = headers.get_str(names.not_run).is_some() || status == MISDIRECTED_REQUEST;
+    if reports_not_run && (echoed.is_none() || !is_for_other_request) {
         return Some(AttemptEnd::Refused);
     }
-    if is_other || headers.get_str("content-encoding").is_some() {
+    if is_for_other_request || headers.get_str("content-encoding").is_some() {
         return Some(AttemptEnd::WrongAnswer);
     }
     let is_success = (200..300).contains(&status);
@@ -168,10 +168,17 @@
     }
     // The caller would read these statuses as a guarantee that the request did not run, which
     // the upstream has not given.
-    PROMISES.contains(&status).then_some(AttemptEnd::Lost)
+    NOT_RUN_STATUSES
+        .contains(&status)
+        .then_some(AttemptEnd::Lost)
 }
 
-fn build(client: &Client, attempt: &Attempt, request: &OutgoingRequest, relay: &RelayPart) -> Conn {
+fn build_request(
+    client: &Client,
+    attempt: &Attempt,
+    request: &OutgoingRequest,
+    relay: &RelayContext,
+) -> Conn {
     let names = relay.names;
     let mut conn = client.build_conn(request.method, url(attempt.address, &request.path));
     if !request.body.is_empty() {
@@ -195,12 +202,12 @@
 }
 
 /// Status and headers that are forwarded to the caller.
-fn head_of(conn: &Conn, status: u16) -> AnswerHead {
+fn response_head(conn: &Conn, status: u16) -> ResponseHead {
     let mut headers = Vec::new();
     for (name, values) in conn.response_headers() {
         let name = name.to_string();
         let lower = name.to_ascii_lowercase();
-        if HOP_BY_HOP.contains(&lower.as_str()) {
+        if HOP_BY_HOP_HEADERS.contains(&lower.as_str()) {
             continue;
         }
         for value in values {
@@ -209,22 +216,22 @@
             }
         }
     }
-    AnswerHead { status, headers }
+    ResponseHead { status, headers }
 }
 
-async fn read_whole(mut conn: Conn, status: u16, sink: &impl AnswerSink) -> AttemptEnd {
-    let head = head_of(&conn, status);
-    let body = conn.response_body().with_max_len(MAX_WHOLE_ANSWER);
+async fn read_whole(mut conn: Conn, status: u16, sink: &impl ResponseSink) -> AttemptEnd {
+    let head = response_head(&conn, status);
+    let body = conn.response_body().with_max_len(MAX_RESPONSE_BYTES);
     let Ok(body) = body.read_bytes().await else {
         return AttemptEnd::Lost;
     };
-    let answer = WholeAnswer {
+    let response = WholeResponse {
         status,
         content_type: None,
         headers: head.headers,
         body,
     };
-    sink.pass(AnswerPart::Whole(answer)).await;
+    sink.pass(ResponsePart::Whole(response)).await;
     if status < 500 {
         AttemptEnd::Completed { output_tokens: 0 }
     } else {
@@ -236,10 +243,10 @@
 async fn read_stream(
     mut conn: Conn,
     status: u16,
-    relay: &RelayPart,
-    sink: &impl AnswerSink,
+    relay: &RelayContext,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
-    let head = head_of(&conn, status);
+    let head = response_head(&conn, status);
     let Some(mut body) = conn.take_response_body() else {
         return AttemptEnd::Lost;
     };
@@ -248,16 +255,16 @@
         last_event: position.last_event,
         ..EventSplitter::default()
     };
-    let mut piece = vec![0; READ_SIZE];
+    let mut chunk = vec![0; READ_SIZE];
     loop {
-        let Some(length) = read_some(&mut body, &mut piece).await else {
+        let Some(length) = read_chunk(&mut body, &mut chunk).await else {
             return AttemptEnd::Lost;
         };
         if length == 0 {
             break;
         }
-        let events = splitter.feed(&piece[..length]);
-        if splitter.buffer.len() > MAX_EVENT {
+        let events = splitter.feed(&chunk[..length]);
+        if splitter.buffer.len() > MAX_EVENT_BYTES {
             return AttemptEnd::WrongAnswer;
         }
         if events.is_empty() {
@@ -265,11 +272,11 @@
         }
         if !position.has_head {
             position.has_head = true;
-            sink.pass(AnswerPart::Head(head.clone())).await;
+            sink.pass(ResponsePart::Head(head.clone())).await;
         }
         position.last_event = splitter.last_event;
         relay.position.set(position);
-        sink.pass(AnswerPart::Piece(events)).await;
+        sink.pass(ResponsePart::Chunk(events)).await;
     }
     if !splitter.buffer.is_empty() {
         return AttemptEnd::Lost;
@@ -278,7 +285,7 @@
         // A stream without any event is complete as well.
         position.has_head = true;
         relay.position.set(position);
-        sink.pass(AnswerPart::Head(head)).await;
+        sink.pass(ResponsePart::Head(head)).await;
     }
     AttemptEnd::Completed {
         output_tokens: splitter.count,
@@ -286,8 +293,8 @@
 }
 
 /// Reads the next bytes: 0 at the end, `None` if the connection failed.
-async fn read_some(body: &mut ResponseBody<'static>, piece: &mut [u8]) -> Option<usize> {
-    body.read(piece).await.ok()
+async fn read_chunk(body: &mut ResponseBody<'static>, chunk: &mut [u8]) -> Option<usize> {
+    body.read(chunk).await.ok()
 }
 
 /// Splits a stream into complete events and drops those that the caller already has.
@@ -303,17 +310,17 @@
     /// Adds bytes and returns the events that they complete.
     fn feed(&mut self, bytes: &[u8]) -> Vec<u8> {
         const EVENT_END: &[u8] = b"\n\n";
-        let searched = self.buffer.len().saturating_sub(EVENT_END.len());
+        let search_start = self.buffer.len().saturating_sub(EVENT_END.len());
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut start = 0;
-        let mut from = searched;
+        let mut from = search_start;
         while let Some(at) = find(&self.buffer[from..], EVENT_END) {
             let end = from + at + EVENT_END.len();
             let event = &self.buffer[start..end];
             let id = event_id(event);
-            let is_known = id.is_some() && id <= self.last_event;
-            if !is_known {
+            let is_duplicate = id.is_some() && id <= self.last_event;
+            if !is_duplicate {
                 events.extend_from_slice(event);
                 self.last_event = id.or(self.last_event);
                 self.count += 1;
--- a/shalehinge/src/upstream/signal.rs
+++ b/shalehinge/src/upstream/signal.rs
@@ -15,7 +15,7 @@
 
 /// Names of the signal headers besides `Retry-After`, in lower case.
 #[derive(Clone, Copy, Debug)]
-pub struct SignalNames {
+pub struct SignalHeaderNames {
     /// Requests per second that an overloaded upstream accepts from all daemons together.
     pub limit: &'static str,
     /// Reports that the upstream is shutting down.
@@ -23,18 +23,18 @@
 }
 
 /// Header names of this project's own interface.
-pub const SIGNAL_NAMES: SignalNames = SignalNames {
+pub const SIGNAL_HEADER_NAMES: SignalHeaderNames = SignalHeaderNames {
     limit: LIMIT_HEADER,
     leaving: LEAVING_HEADER,
 };
 
 /// Reads the signals from the headers of a response with the given status.
-pub fn read(conn: &Conn, status: u16, names: SignalNames) -> UpstreamSignal {
+pub fn read(conn: &Conn, status: u16, names: SignalHeaderNames) -> UpstreamSignal {
     let retry_after = values(conn, KnownHeaderName::RetryAfter);
     UpstreamSignal {
         status,
         limit: NamedLimit::read(values(conn, names.limit)),
-        cooldown: RequestedCooldown::read(status, retry_after, || answered_at(conn)),
+        cooldown: RequestedCooldown::read(status, retry_after, || response_date(conn)),
         leaving: LeavingMark::read(values(conn, names.leaving)),
     }
 }
@@ -49,7 +49,7 @@
 
 /// Time of the response by the upstream's clock, which may differ from the local clock. Falls back
 /// to the local time if there is no valid `Date` header.
-fn answered_at(conn: &Conn) -> SystemTime {
+fn response_date(conn: &Conn) -> SystemTime {
     let date = conn.response_headers().get_str(KnownHeaderName::Date);
     let date = date.and_then(|date| httpdate::parse_http_date(date).ok());
     date.unwrap_or_else(SystemTime::now)
