--- a/shalehinge/src/gateway/access.rs
+++ b/shalehinge/src/gateway/auth.rs
@@ -4,7 +4,7 @@
 use trillium::{Conn, KnownHeaderName};
 
 use super::GatewayContext;
-use super::answer::ErrorAnswer;
+use super::response::ErrorResponse;
 use crate::core::operator::hex;
 use crate::core::types::Customer;
 
@@ -23,8 +23,8 @@
 /// # Errors
 ///
 /// Returns the error response for a missing or unknown key.
-pub fn customer(context: &GatewayContext, conn: &Conn) -> Result<Customer, ErrorAnswer> {
-    let key = bearer_sha256(conn).ok_or_else(ErrorAnswer::no_key)?;
+pub fn customer(context: &GatewayContext, conn: &Conn) -> Result<Customer, ErrorResponse> {
+    let key = bearer_sha256(conn).ok_or_else(ErrorResponse::no_key)?;
     let customer = context.driver.read(|_, core| core.customer_of(&key));
-    customer.ok_or_else(ErrorAnswer::unknown_key)
+    customer.ok_or_else(ErrorResponse::unknown_key)
 }
--- a/shalehinge/src/gateway/chat.rs
+++ b/shalehinge/src/gateway/chat.rs
@@ -6,8 +6,8 @@
 use trillium::Conn;
 use trillium_client::Method;
 
-use super::answer::{ErrorAnswer, serve};
-use super::{GatewayContext, access, intake};
+use super::response::{ErrorResponse, submit_and_respond};
+use super::{GatewayContext, auth, request_input};
 use crate::core::fingerprint::Fingerprint;
 use crate::core::router::prefix;
 use crate::core::router::request::{RequestMeta, Target};
@@ -15,7 +15,7 @@
 use crate::upstream::attempt::{OutgoingRequest, ResponseMode};
 
 /// Path of chat completions, on this daemon and on engines.
-pub const PATH: &str = "/v1/chat/completions";
+pub const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
 /// Maximum output tokens of a request that specifies no maximum.
 const DEFAULT_MAX_TOKENS: u32 = 512;
 /// Estimated bytes of prompt text per token.
@@ -42,23 +42,23 @@
 
 /// Handles a chat completion request.
 pub async fn handle(context: GatewayContext, mut conn: Conn) -> Conn {
-    let came_at = Instant::now();
+    let received_at = Instant::now();
     let prepared = prepare(&context, &mut conn).await;
-    serve(context, conn, came_at, prepared).await
+    submit_and_respond(context, conn, received_at, prepared).await
 }
 
 async fn prepare(
     context: &GatewayContext,
     conn: &mut Conn,
-) -> Result<(RequestMeta, OutgoingRequest), ErrorAnswer> {
-    let customer = access::customer(context, conn)?;
-    let wishes = intake::wishes(context, conn, &customer)?;
-    let body = intake::body(context, conn).await?;
-    let chat = parse(&body)?;
-    let meta = meta_of(context, customer, wishes, &chat, &body);
+) -> Result<(RequestMeta, OutgoingRequest), ErrorResponse> {
+    let customer = auth::customer(context, conn)?;
+    let options = request_input::options(context, conn, &customer)?;
+    let body = request_input::body(context, conn).await?;
+    let chat = parse_chat_request(&body)?;
+    let meta = request_meta(context, customer, options, &chat, &body);
     let outgoing = OutgoingRequest {
         method: Method::Post,
-        path: PATH.to_owned(),
+        path: CHAT_COMPLETIONS_PATH.to_owned(),
         headers: vec![("content-type".into(), "application/json".into())],
         body: body.into(),
         response_mode: if chat.stream {
@@ -71,37 +71,42 @@
     Ok((meta, outgoing))
 }
 
-fn parse(body: &[u8]) -> Result<ChatRequest, ErrorAnswer> {
+fn parse_chat_request(body: &[u8]) -> Result<ChatRequest, ErrorResponse> {
     serde_json::from_slice(body).map_err(|error| {
         let message = format!(
             "the body can't be read at line {} column {}: {error}",
             error.line(),
             error.column()
         );
-        ErrorAnswer::bad_request("bad_json", message)
+        ErrorResponse::bad_request("bad_json", message)
     })
 }
 
-fn meta_of(
+fn request_meta(
     context: &GatewayContext,
     customer: Customer,
-    wishes: intake::Wishes,
+    options: request_input::RequestOptions,
     chat: &ChatRequest,
     body: &[u8],
 ) -> RequestMeta {
-    let prompt = prompt_text(chat);
+    let prompt = concatenated_messages(chat);
     let max_tokens = chat.max_completion_tokens.or(chat.max_tokens);
     RequestMeta {
-        fingerprint: Fingerprint::of(&customer, Method::Post.as_str(), PATH, body),
+        fingerprint: Fingerprint::of(
+            &customer,
+            Method::Post.as_str(),
+            CHAT_COMPLETIONS_PATH,
+            body,
+        ),
         customer,
         target: Target::Model(ModelName::new(&chat.model)),
         prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u32,
         max_output_tokens: max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1),
-        deadline: context.driver.now() + wishes.time,
+        deadline: context.driver.now() + options.time_limit,
         first_output_within: None,
-        priority: wishes.priority,
-        key: wishes.key,
-        repeatable: wishes.repeatable,
+        priority: options.priority,
+        key: options.key,
+        repeatable: options.repeatable,
         prefix: prefix::chain_of(prompt.as_bytes()),
         max_attempts: None,
         is_resumable: false,
@@ -110,7 +115,7 @@
 }
 
 /// Concatenates all messages. Routing uses only the start and the length of the result.
-fn prompt_text(chat: &ChatRequest) -> String {
+fn concatenated_messages(chat: &ChatRequest) -> String {
     let mut text = String::new();
     for message in &chat.messages {
         text.push_str(&message.role);
--- a/shalehinge/src/gateway/handler.rs
+++ b/shalehinge/src/gateway/handler.rs
@@ -9,16 +9,16 @@
 /// Handler for callers of the project's own API: chat completions, the list of models, health
 /// and readiness checks, and plain services on all other paths.
 pub fn handler(context: GatewayContext) -> impl Handler {
-    let chats = context.clone();
-    let lists = context.clone();
-    let ready = context.clone();
+    let chat_context = context.clone();
+    let models_context = context.clone();
+    let readiness_context = context.clone();
     let router = Router::new()
-        .post(chat::PATH, move |conn: Conn| {
-            let context = chats.clone();
+        .post(chat::CHAT_COMPLETIONS_PATH, move |conn: Conn| {
+            let context = chat_context.clone();
             async move { chat::handle(context, conn).await }
         })
         .get("/v1/models", move |conn: Conn| {
-            let context = lists.clone();
+            let context = models_context.clone();
             async move { models::handle(context, conn).await }
         })
         .get("/healthz", |conn: Conn| async move {
@@ -26,10 +26,10 @@
             conn.ok("ok\n")
         })
         .get("/readyz", move |conn: Conn| {
-            let context = ready.clone();
+            let context = readiness_context.clone();
             async move { readiness(&context, conn) }
         });
-    let services = move |conn: Conn| {
+    let service_handler = move |conn: Conn| {
         let context = context.clone();
         async move {
             if conn.status().is_some() {
@@ -38,7 +38,7 @@
             service::handle(context, conn).await
         }
     };
-    (router, services)
+    (router, service_handler)
 }
 
 /// Handler for callers whose requests are relayed by the routes of the configuration.
@@ -50,7 +50,7 @@
 }
 
 /// Handler for readiness checks of the load balancer on their own listener.
-pub fn ready_handler(context: GatewayContext) -> impl Handler {
+pub fn readiness_handler(context: GatewayContext) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
         async move { readiness(&context, conn) }
--- a/shalehinge/src/gateway/mod.rs
+++ b/shalehinge/src/gateway/mod.rs
@@ -1,21 +1,21 @@
 //! The callers' API: HTTP/1.1 in the form that clients of language models commonly use.
 //!
 //! - `handler`: routing of paths to handlers
-//! - `access`: authentication of callers by API key
-//! - `intake`: reading and validation of request headers and bodies
+//! - `auth`: authentication of callers by API key
+//! - `request_input`: reading and validation of request headers and bodies
 //! - `chat`: `POST /v1/chat/completions`
 //! - `models`: `GET /v1/models`
 //! - `service`: calls of plain services
 //! - `relay`: requests that are relayed unchanged
-//! - `answer`: error responses, whole responses and streams
+//! - `response`: error responses, whole responses and streams
 
-pub mod access;
-pub mod answer;
+pub mod auth;
 pub mod chat;
 pub mod handler;
-pub mod intake;
 pub mod models;
 pub mod relay;
+pub mod request_input;
+pub mod response;
 pub mod service;
 
 use std::sync::Arc;
--- a/shalehinge/src/gateway/models.rs
+++ b/shalehinge/src/gateway/models.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use trillium::{Conn, KnownHeaderName};
 
-use super::{GatewayContext, access};
+use super::{GatewayContext, auth};
 
 #[derive(Serialize)]
 struct ModelList {
@@ -20,7 +20,7 @@
 
 /// Lists the models of the configuration in force, with the customer that owns each.
 pub async fn handle(context: GatewayContext, conn: Conn) -> Conn {
-    if let Err(error) = access::customer(&context, &conn) {
+    if let Err(error) = auth::customer(&context, &conn) {
         return error.write(conn);
     }
     let data = context.driver.read(|_, core| {
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -9,8 +9,8 @@
 use sha2::{Digest, Sha256};
 use trillium::{Body, Conn, KnownHeaderName, Status};
 
-use super::answer::LeaveGuard;
-use super::{GatewayContext, intake};
+use super::response::DisconnectGuard;
+use super::{GatewayContext, request_input};
 use crate::core::fingerprint::Fingerprint;
 use crate::core::objects::RequestKind;
 use crate::core::operator::hex;
@@ -19,7 +19,7 @@
 };
 use crate::core::routes::{RouteQuery, RouteRefusal, Routed, model_of_service};
 use crate::core::types::Customer;
-use crate::process::callers::CallerPart;
+use crate::process::pending_requests::CallerMessage;
 use crate::upstream::attempt::{OutgoingRequest, ResponseMode, ResponsePart, WholeResponse};
 use crate::upstream::relay::{
     HOP_BY_HOP_HEADERS, RelayContext, RelayHeaderNames, ResponseHead, StreamPosition,
@@ -28,36 +28,36 @@
 /// Customer that requests without a key are counted under.
 const ANONYMOUS: &str = "anonymous";
 /// Retry delay for callers that arrive before the daemon has routes in force.
-const NOT_READY_RETRY: Duration = Duration::from_millis(300);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Highest rank of a request. Priorities in the core run in the opposite direction: rank 0 is
 /// priority 9.
-const MOST_RANK: u8 = 9;
+const MAX_RANK: u8 = 9;
 
 /// A response that the daemon itself generates, with a plain text body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct OwnAnswer {
+struct DaemonResponse {
     status: Status,
     text: &'static str,
     retry_after: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
 }
 
-impl OwnAnswer {
+impl DaemonResponse {
     const fn new(status: Status, text: &'static str) -> Self {
         Self {
             status,
             text,
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
-    fn of_refusal(refusal: RouteRefusal) -> Self {
+    fn from_refusal(refusal: RouteRefusal) -> Self {
         match refusal {
             RouteRefusal::UnknownRoute => Self::new(Status::NotFound, "no route fits\n"),
             RouteRefusal::UnknownKey => Self::new(Status::Unauthorized, "the key is not known\n"),
             RouteRefusal::NotReady => Self {
-                retry_after: Some(NOT_READY_RETRY),
+                retry_after: Some(NOT_READY_RETRY_AFTER),
                 ..Self::new(
                     Status::ServiceUnavailable,
                     "no configuration that is known to be in force; it did not run\n",
@@ -66,7 +66,7 @@
         }
     }
 
-    fn of_outcome(outcome: Outcome) -> Self {
+    fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun {
                 reason: NotRunReason::KeyTakenAway,
@@ -91,7 +91,7 @@
             let seconds = format!("{:.3}", after.as_secs_f64());
             conn = conn.with_response_header(KnownHeaderName::RetryAfter, seconds);
         }
-        if self.closes {
+        if self.closes_connection {
             conn = conn.with_response_header(KnownHeaderName::Connection, "close");
         }
         conn.halt()
@@ -102,29 +102,29 @@
 pub async fn handle(context: GatewayContext, names: RelayHeaderNames, mut conn: Conn) -> Conn {
     let (meta, outgoing) = match prepare(&context, names, &mut conn).await {
         Ok(prepared) => prepared,
-        Err(answer) => return answer.write(conn),
+        Err(response) => return response.write(conn),
     };
-    let came = arrival(&meta, &outgoing);
+    let log_text = request_log_text(&meta, &outgoing);
     let (request, parts) = context.driver.submit(meta, outgoing);
-    log::info!(target: "shalehinge", "route: request {} {came}", request.0);
-    let guard = LeaveGuard::new(context.driver.clone(), request);
-    let first = conn
+    log::info!(target: "shalehinge", "route: request {} {log_text}", request.0);
+    let guard = DisconnectGuard::new(context.driver.clone(), request);
+    let first_part = conn
         .cancel_on_disconnect(wait_for_first(parts.clone()))
         .await;
-    match first {
+    match first_part {
         // The caller has disconnected; dropping the guard reports it.
         None => conn.halt(),
         Some(FirstPart::Head(head)) => write_stream(conn, head, parts, guard),
         Some(FirstPart::Ended(whole, outcome)) => {
             guard.disarm();
-            let closes = context.driver.read(|_, core| !core.is_ready());
-            write_whole(conn, whole, outcome, closes)
+            let closes_connection = context.driver.read(|_, core| !core.is_ready());
+            write_whole(conn, whole, outcome, closes_connection)
         }
     }
 }
 
 /// Text of the log line of a received request. Its id links the line to the caller's own logs.
-fn arrival(meta: &RequestMeta, outgoing: &OutgoingRequest) -> String {
+fn request_log_text(meta: &RequestMeta, outgoing: &OutgoingRequest) -> String {
     let id = outgoing
         .relay
         .as_ref()
@@ -144,12 +144,12 @@
     context: &GatewayContext,
     names: RelayHeaderNames,
     conn: &mut Conn,
-) -> Result<(RequestMeta, OutgoingRequest), OwnAnswer> {
-    let came_at = context.driver.now();
+) -> Result<(RequestMeta, OutgoingRequest), DaemonResponse> {
+    let received_at = context.driver.now();
     let headers = conn.request_headers();
     let credential = credential(names, conn);
     let request_id = headers.get_str(names.request_id).map(str::to_owned);
-    let spread = request_id.as_deref().map_or(0, spread_of);
+    let spread = request_id.as_deref().map_or(0, request_id_hash);
     let host = headers.get_str(KnownHeaderName::Host).unwrap_or_default();
     let query = RouteQuery {
         host,
@@ -164,31 +164,36 @@
             let target = target_of(core, &routed, headers.get_str(names.model));
             Ok((routed, target, core.routes().limits()))
         })
-        .map_err(OwnAnswer::of_refusal)?;
+        .map_err(DaemonResponse::from_refusal)?;
     let holder = routed.holder.as_ref();
     let customer = holder.map(|holder| holder.customer.clone());
     let timeout = Duration::from_millis(routed.route.timeout_ms);
-    let asked = headers
+    let requested_timeout = headers
         .get_str(names.deadline)
         .and_then(|text| text.trim().parse().ok())
         .map_or(timeout, Duration::from_millis);
-    let (prompt_tokens, max_output_tokens) = tokens(headers.get_str(names.tokens));
-    let passed = passed_headers(names, conn);
+    let (prompt_tokens, max_output_tokens) = token_counts(headers.get_str(names.tokens));
+    let forwarded = forwarded_headers(names, conn);
     let host_and_path = format!("{host}{}", conn.path_and_query());
-    let most = limits.map_or(context.limits.max_body_bytes, |limits| {
+    let max_body_bytes = limits.map_or(context.limits.max_body_bytes, |limits| {
         limits.max_body_bytes
     });
-    let body = body(context, conn, most).await?;
-    let payer = customer.clone().unwrap_or_else(|| Customer::new(ANONYMOUS));
+    let body = body(context, conn, max_body_bytes).await?;
+    let accounted_customer = customer.clone().unwrap_or_else(|| Customer::new(ANONYMOUS));
     let meta = RequestMeta {
-        fingerprint: Fingerprint::of(&payer, conn.method().as_str(), &host_and_path, &body),
-        customer: payer,
+        fingerprint: Fingerprint::of(
+            &accounted_customer,
+            conn.method().as_str(),
+            &host_and_path,
+            &body,
+        ),
+        customer: accounted_customer,
         target,
         prompt_tokens,
         max_output_tokens,
-        deadline: came_at + asked.min(timeout),
-        first_output_within: aim_of(routed.route.target_latency_ms),
-        priority: MOST_RANK.saturating_sub(routed.rank()),
+        deadline: received_at + requested_timeout.min(timeout),
+        first_output_within: target_latency(routed.route.target_latency_ms),
+        priority: MAX_RANK.saturating_sub(routed.rank()),
         key: None,
         repeatable: routed.is_repeatable(),
         prefix: Vec::new(),
@@ -199,7 +204,7 @@
     let outgoing = OutgoingRequest {
         method: conn.method(),
         path: conn.path_and_query().to_owned(),
-        headers: passed,
+        headers: forwarded,
         body: body.into(),
         response_mode: ResponseMode::Service,
         relay: Some(RelayContext {
@@ -213,7 +218,7 @@
 }
 
 /// The target latency of a route; 0 stands for none.
-fn aim_of(target_latency_ms: u64) -> Option<Duration> {
+fn target_latency(target_latency_ms: u64) -> Option<Duration> {
     (target_latency_ms > 0).then(|| Duration::from_millis(target_latency_ms))
 }
 
@@ -227,7 +232,7 @@
 }
 
 /// A hash of the request's id, so that retries by the caller are routed alike.
-fn spread_of(request_id: &str) -> u64 {
+fn request_id_hash(request_id: &str) -> u64 {
     use std::hash::Hasher;
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(request_id.as_bytes());
@@ -248,7 +253,7 @@
 }
 
 /// Reads the numbers of prompt and maximum output tokens; 0 stands for unknown.
-fn tokens(header: Option<&str>) -> (u32, u32) {
+fn token_counts(header: Option<&str>) -> (u32, u32) {
     let mut numbers = header
         .unwrap_or_default()
         .split(',')
@@ -258,47 +263,51 @@
 }
 
 /// Reads the request body of at most `most` bytes.
-async fn body(context: &GatewayContext, conn: &mut Conn, most: u64) -> Result<Vec<u8>, OwnAnswer> {
+async fn body(
+    context: &GatewayContext,
+    conn: &mut Conn,
+    max_body_bytes: u64,
+) -> Result<Vec<u8>, DaemonResponse> {
     let limits = crate::settings::daemon::LimitSettings {
-        max_body_bytes: most,
+        max_body_bytes,
         ..context.limits
     };
-    intake::read_body(&limits, conn)
+    request_input::read_body(&limits, conn)
         .await
-        .map_err(|error| OwnAnswer {
-            closes: true,
-            ..OwnAnswer::new(error.status, "the body can't be read\n")
+        .map_err(|error| DaemonResponse {
+            closes_connection: true,
+            ..DaemonResponse::new(error.status, "the body can't be read\n")
         })
 }
 
 /// Request headers that are forwarded to the upstream: all but those of the connection and those
 /// that the daemon sets or evaluates itself.
-fn passed_headers(names: RelayHeaderNames, conn: &Conn) -> Vec<(String, String)> {
+fn forwarded_headers(names: RelayHeaderNames, conn: &Conn) -> Vec<(String, String)> {
     let headers = conn.request_headers();
-    let of_connection: Vec<String> = headers
+    let connection_headers: Vec<String> = headers
         .get_str(KnownHeaderName::Connection)
         .unwrap_or_default()
         .split(',')
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let own = ["authorization", names.customer, names.host, names.deadline];
-    let mut passed = Vec::new();
+    let consumed_headers = ["authorization", names.customer, names.host, names.deadline];
+    let mut forwarded = Vec::new();
     for (name, values) in headers {
         let name = name.to_string();
         let lower = name.to_ascii_lowercase();
-        let stays = HOP_BY_HOP_HEADERS.contains(&lower.as_str())
-            || own.contains(&lower.as_str())
-            || of_connection.contains(&lower);
-        if stays {
+        let is_dropped = HOP_BY_HOP_HEADERS.contains(&lower.as_str())
+            || consumed_headers.contains(&lower.as_str())
+            || connection_headers.contains(&lower);
+        if is_dropped {
             continue;
         }
         for value in values {
             if let Some(value) = value.as_str() {
-                passed.push((name.clone(), value.to_owned()));
+                forwarded.push((name.clone(), value.to_owned()));
             }
         }
     }
-    passed
+    forwarded
 }
 
 /// What the wait for the first part of a response ended with.
@@ -307,14 +316,14 @@
     Ended(Option<WholeResponse>, Outcome),
 }
 
-async fn wait_for_first(parts: Receiver<CallerPart>) -> FirstPart {
+async fn wait_for_first(parts: Receiver<CallerMessage>) -> FirstPart {
     let mut whole = None;
     loop {
         match parts.recv().await {
-            Ok(CallerPart::Part(ResponsePart::Head(head))) => return FirstPart::Head(head),
-            Ok(CallerPart::Part(ResponsePart::Whole(answer))) => whole = Some(answer),
-            Ok(CallerPart::Part(ResponsePart::StreamStart | ResponsePart::Chunk(_))) => {}
-            Ok(CallerPart::Ended(outcome)) => return FirstPart::Ended(whole, outcome),
+            Ok(CallerMessage::Part(ResponsePart::Head(head))) => return FirstPart::Head(head),
+            Ok(CallerMessage::Part(ResponsePart::Whole(response))) => whole = Some(response),
+            Ok(CallerMessage::Part(ResponsePart::StreamStart | ResponsePart::Chunk(_))) => {}
+            Ok(CallerMessage::Ended(outcome)) => return FirstPart::Ended(whole, outcome),
             Err(_) => {
                 let reason = UnknownReason::Lost;
                 return FirstPart::Ended(None, Outcome::Unknown { reason });
@@ -323,17 +332,22 @@
     }
 }
 
-fn write_whole(conn: Conn, whole: Option<WholeResponse>, outcome: Outcome, closes: bool) -> Conn {
-    let passes = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
-    let Some(whole) = whole.filter(|_| passes) else {
-        let own = OwnAnswer {
-            closes,
-            ..OwnAnswer::of_outcome(outcome)
+fn write_whole(
+    conn: Conn,
+    whole: Option<WholeResponse>,
+    outcome: Outcome,
+    closes_connection: bool,
+) -> Conn {
+    let forwards_body = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
+    let Some(whole) = whole.filter(|_| forwards_body) else {
+        let response = DaemonResponse {
+            closes_connection,
+            ..DaemonResponse::from_outcome(outcome)
         };
-        return own.write(conn);
+        return response.write(conn);
     };
     let mut conn = write_head(conn, whole.status, whole.headers);
-    if closes {
+    if closes_connection {
         conn = conn.with_response_header(KnownHeaderName::Connection, "close");
     }
     conn.with_body(whole.body).halt()
@@ -353,18 +367,18 @@
 fn write_stream(
     conn: Conn,
     head: ResponseHead,
-    parts: Receiver<CallerPart>,
-    guard: LeaveGuard,
+    parts: Receiver<CallerMessage>,
+    guard: DisconnectGuard,
 ) -> Conn {
-    let pieces = stream::unfold(Some((parts, guard)), |state| async move {
+    let chunks = stream::unfold(Some((parts, guard)), |state| async move {
         let (parts, guard) = state?;
         loop {
             match parts.recv().await {
-                Ok(CallerPart::Part(ResponsePart::Chunk(piece))) => {
-                    return Some((Ok(piece), Some((parts, guard))));
+                Ok(CallerMessage::Part(ResponsePart::Chunk(chunk))) => {
+                    return Some((Ok(chunk), Some((parts, guard))));
                 }
-                Ok(CallerPart::Part(_)) => {}
-                Ok(CallerPart::Ended(outcome)) => {
+                Ok(CallerMessage::Part(_)) => {}
+                Ok(CallerMessage::Ended(outcome)) => {
                     guard.disarm();
                     if outcome == Outcome::Completed {
                         return None;
@@ -372,19 +386,19 @@
                     // Lets events received before the failure go out first: the server flushes
                     // its buffer whenever the body has nothing ready, and discards it on an error.
                     futures_lite::future::yield_now().await;
-                    return Some((Err(broken_off()), None));
+                    return Some((Err(stream_failed()), None));
                 }
-                Err(_) => return Some((Err(broken_off()), None)),
+                Err(_) => return Some((Err(stream_failed()), None)),
             }
         }
     });
-    let body = Body::new_streaming(Box::pin(pieces).into_async_read(), None);
+    let body = Body::new_streaming(Box::pin(chunks).into_async_read(), None);
     write_head(conn, head.status, head.headers)
         .with_body(body)
         .halt()
 }
 
-fn broken_off() -> std::io::Error {
+fn stream_failed() -> std::io::Error {
     std::io::Error::new(
         std::io::ErrorKind::ConnectionAborted,
         "the upstream's stream failed before its end",
--- a/shalehinge/src/gateway/intake.rs
+++ b/shalehinge/src/gateway/request_input.rs
@@ -7,7 +7,7 @@
 use trillium::{Conn, Status};
 
 use super::GatewayContext;
-use super::answer::ErrorAnswer;
+use super::response::ErrorResponse;
 use crate::core::objects::KeyHash;
 use crate::core::types::Customer;
 use crate::settings::daemon::LimitSettings;
@@ -19,20 +19,20 @@
 pub const PRIORITY_HEADER: &str = "x-priority";
 /// Request header with an idempotency key: requests of a customer with the same key run at most
 /// once.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Request header that is `true` if running the request twice would do harm.
 pub const NOT_REPEATABLE_HEADER: &str = "x-not-repeatable";
 
 /// Highest priority that a caller can ask for.
-const MOST_PRIORITY: u8 = 9;
+const MAX_PRIORITY: u8 = 9;
 /// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
 /// The options that a caller sets by request headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wishes {
+pub struct RequestOptions {
     /// Time from now until the whole response must have been sent.
-    pub time: Duration,
+    pub time_limit: Duration,
     /// Priority, from 0 to 9.
     pub priority: u8,
     /// Hash of the customer and the idempotency key, if a key was given.
@@ -46,59 +46,59 @@
 /// # Errors
 ///
 /// Returns an error response with status 400 if one of the headers is invalid.
-pub fn wishes(
+pub fn options(
     context: &GatewayContext,
     conn: &Conn,
     customer: &Customer,
-) -> Result<Wishes, ErrorAnswer> {
+) -> Result<RequestOptions, ErrorResponse> {
     let headers = conn.request_headers();
-    let key = headers.get_str(KEY_HEADER);
+    let key = headers.get_str(IDEMPOTENCY_KEY_HEADER);
     if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
         let message = format!("Idempotency-Key must have 1 to {MAX_KEY_BYTES} bytes");
-        return Err(ErrorAnswer::bad_request("bad_key", message));
+        return Err(ErrorResponse::bad_request("bad_key", message));
     }
     let not_repeatable = match headers.get_str(NOT_REPEATABLE_HEADER) {
         None | Some("false") => false,
         Some("true") => true,
         Some(_) => {
             let message = "x-not-repeatable must be true or false";
-            return Err(ErrorAnswer::bad_request("bad_not_repeatable", message));
+            return Err(ErrorResponse::bad_request("bad_not_repeatable", message));
         }
     };
-    Ok(Wishes {
-        time: time(context, headers.get_str(DEADLINE_HEADER))?,
+    Ok(RequestOptions {
+        time_limit: time_limit(context, headers.get_str(DEADLINE_HEADER))?,
         priority: priority(headers.get_str(PRIORITY_HEADER))?,
         key: key.map(|key| key_hash(customer, key)),
         repeatable: !not_repeatable && key.is_none(),
     })
 }
 
-fn time(context: &GatewayContext, header: Option<&str>) -> Result<Duration, ErrorAnswer> {
+fn time_limit(context: &GatewayContext, header: Option<&str>) -> Result<Duration, ErrorResponse> {
     let Some(text) = header else {
         return Ok(context.limits.default_deadline);
     };
-    let millis = text.trim().parse::<i64>().map_err(|_| {
+    let milliseconds = text.trim().parse::<i64>().map_err(|_| {
         let message = "x-deadline-ms must be a whole number of milliseconds from now";
-        ErrorAnswer::bad_request("bad_deadline", message)
+        ErrorResponse::bad_request("bad_deadline", message)
     })?;
-    if millis <= 0 {
+    if milliseconds <= 0 {
         let message = "the deadline has passed; send the request with time left";
-        return Err(ErrorAnswer::bad_request("deadline_in_past", message));
+        return Err(ErrorResponse::bad_request("deadline_in_past", message));
     }
-    let time = Duration::from_millis(millis.unsigned_abs());
-    Ok(time.min(context.limits.max_deadline))
+    let time_limit = Duration::from_millis(milliseconds.unsigned_abs());
+    Ok(time_limit.min(context.limits.max_deadline))
 }
 
-fn priority(header: Option<&str>) -> Result<u8, ErrorAnswer> {
+fn priority(header: Option<&str>) -> Result<u8, ErrorResponse> {
     let Some(text) = header else {
         return Ok(0);
     };
     let parsed = text.trim().parse::<u8>().ok();
     parsed
-        .filter(|value| *value <= MOST_PRIORITY)
+        .filter(|value| *value <= MAX_PRIORITY)
         .ok_or_else(|| {
             let message = "x-priority must be a whole number from 0 to 9";
-            ErrorAnswer::bad_request("bad_priority", message)
+            ErrorResponse::bad_request("bad_priority", message)
         })
 }
 
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// See [`read_body`].
-pub async fn body(context: &GatewayContext, conn: &mut Conn) -> Result<Vec<u8>, ErrorAnswer> {
+pub async fn body(context: &GatewayContext, conn: &mut Conn) -> Result<Vec<u8>, ErrorResponse> {
     read_body(&context.limits, conn).await
 }
 
@@ -128,31 +128,31 @@
 ///
 /// Returns an error response that closes the connection if the body is too large, does not
 /// arrive in time or is cut off.
-pub async fn read_body(limits: &LimitSettings, conn: &mut Conn) -> Result<Vec<u8>, ErrorAnswer> {
+pub async fn read_body(limits: &LimitSettings, conn: &mut Conn) -> Result<Vec<u8>, ErrorResponse> {
     let body = conn.request_body().with_max_len(limits.max_body_bytes);
     let error = match with_timeout(limits.body_timeout, body.read_bytes()).await {
         Some(Ok(bytes)) => return Ok(bytes),
         Some(Err(trillium_http::Error::ReceivedBodyTooLong(_))) => {
             let message = format!("the body may have {} bytes", limits.max_body_bytes);
-            ErrorAnswer {
+            ErrorResponse {
                 status: Status::PayloadTooLarge,
-                ..ErrorAnswer::bad_request("body_too_large", message)
+                ..ErrorResponse::bad_request("body_too_large", message)
             }
         }
         Some(Err(_)) => {
-            ErrorAnswer::bad_request("body_broken", "the body broke off; send it whole")
+            ErrorResponse::bad_request("body_broken", "the body broke off; send it whole")
         }
         None => {
             let seconds = limits.body_timeout.as_secs();
             let message = format!("the body did not come within {seconds} s; send it faster");
-            ErrorAnswer {
+            ErrorResponse {
                 status: Status::RequestTimeout,
-                ..ErrorAnswer::bad_request("body_too_slow", message)
+                ..ErrorResponse::bad_request("body_too_slow", message)
             }
         }
     };
-    Err(ErrorAnswer {
-        closes: true,
+    Err(ErrorResponse {
+        closes_connection: true,
         ..error
     })
 }
--- a/shalehinge/src/gateway/answer.rs
+++ b/shalehinge/src/gateway/response.rs
@@ -14,7 +14,7 @@
 use crate::core::router::request::{NotRunReason, Outcome, RequestMeta, UnknownReason};
 use crate::core::types::RequestId;
 use crate::process::Driver;
-use crate::process::callers::CallerPart;
+use crate::process::pending_requests::CallerMessage;
 use crate::upstream::attempt::{OutgoingRequest, ResponsePart, WholeResponse};
 
 /// Response header with the outcome of the request: `completed`, `failed`, `not_run` or
@@ -25,7 +25,7 @@
 
 /// An error response in the JSON form that clients of this API expect.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: Status,
     /// Machine-readable error code, which does not change between versions.
@@ -38,7 +38,7 @@
     pub retry_after: Option<Duration>,
     /// Whether the connection is closed after the response, because the rest of the request can't
     /// be read.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 #[derive(Serialize)]
@@ -57,7 +57,7 @@
     retry_after_seconds: Option<u64>,
 }
 
-impl ErrorAnswer {
+impl ErrorResponse {
     /// An invalid request, which was not run. The status is 400.
     pub fn bad_request(code: &'static str, message: impl Into<String>) -> Self {
         Self {
@@ -66,7 +66,7 @@
             message: message.into(),
             outcome: "not_run",
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// The error response for an outcome, or `None` for a completed request.
-    pub fn of(outcome: Outcome) -> Option<Self> {
+    pub fn from_outcome(outcome: Outcome) -> Option<Self> {
         match outcome {
             Outcome::Completed => None,
             Outcome::Failed { status } => Some(Self {
@@ -98,7 +98,7 @@
                 message: format!("the upstream answered with status {status}; see its own error"),
                 outcome: "failed",
                 retry_after: None,
-                closes: false,
+                closes_connection: false,
             }),
             Outcome::NotRun {
                 reason,
@@ -177,7 +177,7 @@
             message: message.to_owned(),
             outcome: "not_run",
             retry_after: Some(retry_after),
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -215,7 +215,7 @@
             message: message.to_owned(),
             outcome: "unknown",
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -232,7 +232,7 @@
                 kind,
                 code: self.code,
                 outcome: self.outcome,
-                retry_after_seconds: self.retry_after.map(whole_seconds),
+                retry_after_seconds: self.retry_after.map(ceil_seconds),
             },
         };
         serde_json::to_string(&body).unwrap_or_default()
@@ -245,14 +245,14 @@
             .with_response_header(KnownHeaderName::ContentType, "application/json")
             .with_response_header(OUTCOME_HEADER, self.outcome)
             .with_body(self.json());
-        let conn = if self.closes {
+        let conn = if self.closes_connection {
             conn.with_response_header(KnownHeaderName::Connection, "close")
         } else {
             conn
         };
         match self.retry_after {
             Some(after) => {
-                let seconds = whole_seconds(after).to_string();
+                let seconds = ceil_seconds(after).to_string();
                 conn.with_response_header(KnownHeaderName::RetryAfter, seconds)
             }
             None => conn,
@@ -267,52 +267,52 @@
 }
 
 /// The duration in seconds, rounded up, at least 1.
-fn whole_seconds(duration: Duration) -> u64 {
+fn ceil_seconds(duration: Duration) -> u64 {
     duration.as_millis().div_ceil(1000).max(1) as u64
 }
 
 /// A submitted request whose response has not been written yet.
-struct PendingAnswer {
+struct PendingResponse {
     driver: Arc<Driver>,
     request: RequestId,
-    parts: Receiver<CallerPart>,
+    parts: Receiver<CallerMessage>,
     /// Whether the request is cancelled when its caller disconnects.
-    may_abandon: bool,
-    came_at: Instant,
+    cancels_on_disconnect: bool,
+    received_at: Instant,
 }
 
 /// Submits a valid request and writes its response, or writes the error found by validation.
-pub async fn serve(
+pub async fn submit_and_respond(
     context: GatewayContext,
     conn: Conn,
-    came_at: Instant,
-    prepared: Result<(RequestMeta, OutgoingRequest), ErrorAnswer>,
+    received_at: Instant,
+    prepared: Result<(RequestMeta, OutgoingRequest), ErrorResponse>,
 ) -> Conn {
     let (meta, outgoing) = match prepared {
         Ok(prepared) => prepared,
         Err(error) => return error.write(conn),
     };
-    let may_abandon = meta.repeatable;
+    let cancels_on_disconnect = meta.repeatable;
     let (request, parts) = context.driver.submit(meta, outgoing);
-    let pending = PendingAnswer {
+    let pending = PendingResponse {
         driver: context.driver,
         request,
         parts,
-        may_abandon,
-        came_at,
+        cancels_on_disconnect,
+        received_at,
     };
     pending.write(conn).await
 }
 
 /// When dropped, reports to the core that the caller disconnected, unless it was disarmed
 /// because the response was complete.
-pub(super) struct LeaveGuard {
+pub(super) struct DisconnectGuard {
     driver: Arc<Driver>,
     request: RequestId,
     is_armed: bool,
 }
 
-impl LeaveGuard {
+impl DisconnectGuard {
     /// Creates an armed guard for a request that is to be cancelled when its caller disconnects.
     pub(super) fn new(driver: Arc<Driver>, request: RequestId) -> Self {
         Self {
@@ -328,7 +328,7 @@
     }
 }
 
-impl Drop for LeaveGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.is_armed {
             self.driver.dispatch(Event::CallerLeft(self.request));
@@ -337,18 +337,18 @@
 }
 
 /// What the wait for the first part of a response ended with.
-enum FirstAnswer {
+enum FirstPart {
     Stream,
     Whole(Option<WholeResponse>, Outcome),
 }
 
-impl PendingAnswer {
+impl PendingResponse {
     /// Waits for the response and writes it to the connection.
     async fn write(self, mut conn: Conn) -> Conn {
-        let mut guard = LeaveGuard {
+        let mut guard = DisconnectGuard {
             driver: self.driver.clone(),
             request: self.request,
-            is_armed: self.may_abandon,
+            is_armed: self.cancels_on_disconnect,
         };
         let parts = self.parts.clone();
         let first = conn.cancel_on_disconnect(wait_for_first(parts)).await;
@@ -356,43 +356,43 @@
         match first {
             // The caller has disconnected; dropping the guard reports it if it is armed.
             None => conn.halt(),
-            Some(FirstAnswer::Stream) => {
-                self.driver.metrics.first_output(self.came_at.elapsed());
+            Some(FirstPart::Stream) => {
+                self.driver.metrics.first_output(self.received_at.elapsed());
                 write_stream(conn, self.parts, guard)
             }
-            Some(FirstAnswer::Whole(whole, outcome)) => {
+            Some(FirstPart::Whole(whole, outcome)) => {
                 guard.is_armed = false;
-                self.driver.metrics.first_output(self.came_at.elapsed());
+                self.driver.metrics.first_output(self.received_at.elapsed());
                 write_whole(conn, whole, outcome)
             }
         }
     }
 }
 
-async fn wait_for_first(parts: Receiver<CallerPart>) -> FirstAnswer {
+async fn wait_for_first(parts: Receiver<CallerMessage>) -> FirstPart {
     let mut whole = None;
     loop {
         match parts.recv().await {
-            Ok(CallerPart::Part(ResponsePart::StreamStart)) => return FirstAnswer::Stream,
-            Ok(CallerPart::Part(ResponsePart::Whole(answer))) => whole = Some(answer),
-            Ok(CallerPart::Part(ResponsePart::Chunk(_) | ResponsePart::Head(_))) => {}
-            Ok(CallerPart::Ended(outcome)) => return FirstAnswer::Whole(whole, outcome),
+            Ok(CallerMessage::Part(ResponsePart::StreamStart)) => return FirstPart::Stream,
+            Ok(CallerMessage::Part(ResponsePart::Whole(response))) => whole = Some(response),
+            Ok(CallerMessage::Part(ResponsePart::Chunk(_) | ResponsePart::Head(_))) => {}
+            Ok(CallerMessage::Ended(outcome)) => return FirstPart::Whole(whole, outcome),
             Err(_) => {
                 let reason = UnknownReason::Lost;
-                return FirstAnswer::Whole(None, Outcome::Unknown { reason });
+                return FirstPart::Whole(None, Outcome::Unknown { reason });
             }
         }
     }
 }
 
 fn write_whole(conn: Conn, whole: Option<WholeResponse>, outcome: Outcome) -> Conn {
-    let passes_body = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
-    let Some(whole) = whole.filter(|_| passes_body) else {
-        let error = ErrorAnswer::of(outcome);
-        let lost = || ErrorAnswer::unknown(UnknownReason::Lost);
+    let forwards_body = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
+    let Some(whole) = whole.filter(|_| forwards_body) else {
+        let error = ErrorResponse::from_outcome(outcome);
+        let lost = || ErrorResponse::unknown(UnknownReason::Lost);
         return error.unwrap_or_else(lost).write(conn);
     };
-    let said = match outcome {
+    let outcome_name = match outcome {
         Outcome::Completed => "completed",
         _ => "failed",
     };
@@ -402,30 +402,30 @@
     let status = Status::try_from(whole.status).unwrap_or(Status::BadGateway);
     conn.with_status(status)
         .with_response_header(KnownHeaderName::ContentType, content_type)
-        .with_response_header(OUTCOME_HEADER, said)
+        .with_response_header(OUTCOME_HEADER, outcome_name)
         .with_body(whole.body)
         .halt()
 }
 
-fn write_stream(conn: Conn, parts: Receiver<CallerPart>, guard: LeaveGuard) -> Conn {
-    let pieces = stream::unfold(Some((parts, guard)), |state| async move {
+fn write_stream(conn: Conn, parts: Receiver<CallerMessage>, guard: DisconnectGuard) -> Conn {
+    let chunks = stream::unfold(Some((parts, guard)), |state| async move {
         let (parts, mut guard) = state?;
         loop {
             match parts.recv().await {
-                Ok(CallerPart::Part(ResponsePart::Chunk(piece))) => {
-                    return Some((Ok::<_, std::io::Error>(piece), Some((parts, guard))));
+                Ok(CallerMessage::Part(ResponsePart::Chunk(chunk))) => {
+                    return Some((Ok::<_, std::io::Error>(chunk), Some((parts, guard))));
                 }
-                Ok(CallerPart::Part(_)) => {}
-                Ok(CallerPart::Ended(outcome)) => {
+                Ok(CallerMessage::Part(_)) => {}
+                Ok(CallerMessage::Ended(outcome)) => {
                     guard.is_armed = false;
-                    let error = ErrorAnswer::of(outcome)?;
+                    let error = ErrorResponse::from_outcome(outcome)?;
                     return Some((Ok(error.event()), None));
                 }
                 Err(_) => return None,
             }
         }
     });
-    let body = Body::new_streaming(Box::pin(pieces).into_async_read(), None);
+    let body = Body::new_streaming(Box::pin(chunks).into_async_read(), None);
     conn.with_status(Status::Ok)
         .with_response_header(KnownHeaderName::ContentType, "text/event-stream")
         .with_response_header(KnownHeaderName::CacheControl, "no-cache")
--- a/shalehinge/src/gateway/service.rs
+++ b/shalehinge/src/gateway/service.rs
@@ -4,8 +4,8 @@
 
 use trillium::Conn;
 
-use super::answer::{ErrorAnswer, serve};
-use super::{GatewayContext, access, intake};
+use super::response::{ErrorResponse, submit_and_respond};
+use super::{GatewayContext, auth, request_input};
 use crate::core::fingerprint::Fingerprint;
 use crate::core::objects::ServiceConfig;
 use crate::core::router::request::{NotRunReason, Outcome, RequestMeta, Target};
@@ -13,7 +13,7 @@
 use crate::upstream::attempt::{OutgoingRequest, ResponseMode};
 
 /// Request headers that are not forwarded to the service.
-const NOT_PASSED: [&str; 10] = [
+const NOT_FORWARDED_HEADERS: [&str; 10] = [
     "authorization",
     "connection",
     "content-length",
@@ -29,22 +29,22 @@
 /// Handles a call of the plain service that the path belongs to; responds with 404 if there is
 /// none.
 pub async fn handle(context: GatewayContext, mut conn: Conn) -> Conn {
-    let came_at = Instant::now();
+    let received_at = Instant::now();
     let prepared = prepare(&context, &mut conn).await;
-    serve(context, conn, came_at, prepared).await
+    submit_and_respond(context, conn, received_at, prepared).await
 }
 
 async fn prepare(
     context: &GatewayContext,
     conn: &mut Conn,
-) -> Result<(RequestMeta, OutgoingRequest), ErrorAnswer> {
-    let customer = access::customer(context, conn)?;
-    let (name, service) = find(context, conn.path()).ok_or_else(unknown)?;
-    let mut wishes = intake::wishes(context, conn, &customer)?;
+) -> Result<(RequestMeta, OutgoingRequest), ErrorResponse> {
+    let customer = auth::customer(context, conn)?;
+    let (name, service) = find_service(context, conn.path()).ok_or_else(unknown_path_error)?;
+    let mut options = request_input::options(context, conn, &customer)?;
     if is_not_repeatable(&service, conn) {
-        wishes.repeatable = false;
+        options.repeatable = false;
     }
-    let body = intake::body(context, conn).await?;
+    let body = request_input::body(context, conn).await?;
     let path = conn.path_and_query();
     let meta = RequestMeta {
         fingerprint: Fingerprint::of(&customer, conn.method().as_str(), path, &body),
@@ -52,11 +52,11 @@
         target: Target::Service(name),
         prompt_tokens: 0,
         max_output_tokens: 0,
-        deadline: context.driver.now() + wishes.time,
+        deadline: context.driver.now() + options.time_limit,
         first_output_within: None,
-        priority: wishes.priority,
-        key: wishes.key,
-        repeatable: wishes.repeatable,
+        priority: options.priority,
+        key: options.key,
+        repeatable: options.repeatable,
         prefix: Vec::new(),
         max_attempts: None,
         is_resumable: false,
@@ -65,7 +65,7 @@
     let outgoing = OutgoingRequest {
         method: conn.method(),
         path: conn.path_and_query().to_owned(),
-        headers: passed_headers(conn),
+        headers: forwarded_headers(conn),
         body: body.into(),
         response_mode: ResponseMode::Service,
         relay: None,
@@ -73,17 +73,17 @@
     Ok((meta, outgoing))
 }
 
-fn unknown() -> ErrorAnswer {
+fn unknown_path_error() -> ErrorResponse {
     let outcome = Outcome::NotRun {
         reason: NotRunReason::UnknownTarget,
         retry_after: std::time::Duration::from_secs(60),
     };
-    ErrorAnswer::of(outcome)
-        .unwrap_or_else(|| ErrorAnswer::bad_request("unknown_path", "there is no such path"))
+    ErrorResponse::from_outcome(outcome)
+        .unwrap_or_else(|| ErrorResponse::bad_request("unknown_path", "there is no such path"))
 }
 
 /// Returns the service with the longest path prefix that matches the path.
-fn find(context: &GatewayContext, path: &str) -> Option<(ServiceName, ServiceConfig)> {
+fn find_service(context: &GatewayContext, path: &str) -> Option<(ServiceName, ServiceConfig)> {
     context.driver.read(|_, core| {
         let services = &core.state().fleet()?.value.services;
         services
@@ -102,13 +102,13 @@
 }
 
 /// Request headers that are forwarded to the service.
-fn passed_headers(conn: &Conn) -> Vec<(String, String)> {
+fn forwarded_headers(conn: &Conn) -> Vec<(String, String)> {
     conn.request_headers()
         .iter()
         .filter_map(|(name, values)| {
             let name = name.to_string().to_ascii_lowercase();
             let value = values.as_str()?.to_owned();
-            (!NOT_PASSED.contains(&name.as_str())).then_some((name, value))
+            (!NOT_FORWARDED_HEADERS.contains(&name.as_str())).then_some((name, value))
         })
         .collect()
 }
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -17,7 +17,7 @@
     Customer, DaemonId, FailureDomain, FleetVersion, GroupNumber, HostId, ModelName, ModelVersion,
     StoreEra, Timestamp,
 };
-use crate::gateway::access::bearer_sha256;
+use crate::gateway::auth::bearer_sha256;
 use crate::process::Driver;
 
 /// Path of plans.
@@ -218,7 +218,7 @@
                 return refuse(conn, Status::BadRequest, &message);
             }
         };
-        match self.driver.operate(call).await {
+        match self.driver.execute_operator_call(call).await {
             Some(answer) => write_json(conn, &answer),
             None => refuse(conn, Status::ServiceUnavailable, "the daemon is stopping"),
         }
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -13,8 +13,8 @@
 use async_channel::{Receiver, Sender};
 use trillium_client::Client;
 
-use super::callers::{CallerPart, Callers};
 use super::peer_traffic::PeerTraffic;
+use super::pending_requests::{CallerMessage, PendingRequests};
 use crate::core::daemon::Daemon;
 use crate::core::event::{Action, Event, Pull, PullId, PullReply, StatusPurpose};
 use crate::core::operator::{OperatorAnswer, OperatorCall, OperatorCallId};
@@ -48,22 +48,22 @@
     core: Mutex<Daemon>,
     clock: Clock,
     clients: Clients,
-    upstreams: Client,
-    callers: Callers,
+    upstream_client: Client,
+    pending_requests: PendingRequests,
     attempts: Mutex<HashMap<AttemptId, smol::Task<()>>>,
-    operators: Waiting<OperatorCallId, OperatorAnswer>,
-    pulls: Waiting<PullId, PullReply>,
+    operator_calls: PendingReplies<OperatorCallId, OperatorAnswer>,
+    peer_pulls: PendingReplies<PullId, PullReply>,
     next_id: AtomicU64,
     peer_traffic: PeerTraffic,
     /// Metrics of this daemon.
     pub metrics: Metrics,
-    stopped: Sender<()>,
+    stop_sender: Sender<()>,
 }
 
 /// Tasks that each wait for a single reply, by call id.
-struct Waiting<K, V>(Mutex<HashMap<K, Sender<V>>>);
+struct PendingReplies<K, V>(Mutex<HashMap<K, Sender<V>>>);
 
-impl<K: Hash + Eq, V> Waiting<K, V> {
+impl<K: Hash + Eq, V> PendingReplies<K, V> {
     fn new() -> Self {
         Self(Mutex::new(HashMap::new()))
     }
@@ -74,7 +74,7 @@
         receiver
     }
 
-    fn answer(&self, key: &K, value: V) {
+    fn resolve(&self, key: &K, value: V) {
         if let Some(sender) = lock(&self.0).remove(key) {
             let _ = sender.try_send(value);
         }
@@ -88,22 +88,22 @@
 impl Driver {
     /// Creates a driver and a channel that receives a message when the core has stopped.
     pub fn new(core: Daemon, clients: Clients, metrics: Metrics) -> (Arc<Self>, Receiver<()>) {
-        let (stopped, has_stopped) = async_channel::bounded(1);
+        let (stop_sender, stop_receiver) = async_channel::bounded(1);
         let driver = Self {
             core: Mutex::new(core),
             clock: Clock::start(),
             clients,
-            upstreams: single_use_client(),
-            callers: Callers::default(),
+            upstream_client: single_use_client(),
+            pending_requests: PendingRequests::default(),
             attempts: Mutex::new(HashMap::new()),
-            operators: Waiting::new(),
-            pulls: Waiting::new(),
+            operator_calls: PendingReplies::new(),
+            peer_pulls: PendingReplies::new(),
             next_id: AtomicU64::new(1),
             peer_traffic: PeerTraffic::default(),
             metrics,
-            stopped,
+            stop_sender,
         };
-        (Arc::new(driver), has_stopped)
+        (Arc::new(driver), stop_receiver)
     }
 
     /// Current time of the core: the time since the driver was created.
@@ -112,9 +112,9 @@
     }
 
     /// Calls a function with the current time and the core, while holding the core's lock.
-    pub fn read<T>(&self, look: impl FnOnce(Timestamp, &Daemon) -> T) -> T {
+    pub fn read<T>(&self, inspect: impl FnOnce(Timestamp, &Daemon) -> T) -> T {
         let now = self.now();
-        look(now, &lock(&self.core))
+        inspect(now, &lock(&self.core))
     }
 
     fn next_id(&self) -> u64 {
@@ -127,7 +127,7 @@
         let mut core = lock(&self.core);
         core.handle(self.now(), event, &mut actions);
         for action in actions {
-            self.start(action);
+            self.execute(action);
         }
         drop(core);
     }
@@ -146,18 +146,21 @@
         self: &Arc<Self>,
         meta: RequestMeta,
         outgoing: OutgoingRequest,
-    ) -> (RequestId, Receiver<CallerPart>) {
+    ) -> (RequestId, Receiver<CallerMessage>) {
         let request = RequestId(self.next_id());
-        let parts = self.callers.add(request, outgoing);
+        let parts = self.pending_requests.add(request, outgoing);
         self.metrics.count(Counter::Requests);
         self.dispatch(Event::Request { request, meta });
         (request, parts)
     }
 
     /// Executes an operator call. Returns `None` if the call was dropped without an answer.
-    pub async fn operate(self: &Arc<Self>, call: OperatorCall) -> Option<OperatorAnswer> {
+    pub async fn execute_operator_call(
+        self: &Arc<Self>,
+        call: OperatorCall,
+    ) -> Option<OperatorAnswer> {
         let call_id = OperatorCallId(self.next_id());
-        let answer = self.operators.add(call_id);
+        let answer = self.operator_calls.add(call_id);
         self.dispatch(Event::Operator { call_id, call });
         answer.recv().await.ok()
     }
@@ -165,16 +168,16 @@
     /// Answers a peer's pull. Returns `None` if the pull was dropped without a reply.
     pub async fn answer_pull(self: &Arc<Self>, pull: Pull) -> Option<PullReply> {
         let pull_id = PullId(self.next_id());
-        let reply = self.pulls.add(pull_id);
+        let reply = self.peer_pulls.add(pull_id);
         self.dispatch(Event::PullAsked { pull_id, pull });
         reply.recv().await.ok()
     }
 
-    fn start(self: &Arc<Self>, action: Action) {
+    fn execute(self: &Arc<Self>, action: Action) {
         match action {
             Action::Platform { call, request } => self.call_platform(call, request),
             Action::Pull { to, pull } => self.pull(to, pull),
-            Action::AnswerPull { pull_id, reply } => self.pulls.answer(&pull_id, reply),
+            Action::AnswerPull { pull_id, reply } => self.peer_pulls.resolve(&pull_id, reply),
             Action::Notify { to, notice } => {
                 self.metrics.count(Counter::Notices);
                 self.spawn(|driver| async move {
@@ -185,14 +188,14 @@
                 purpose,
                 host,
                 address,
-            } => self.ask_status(purpose, host, address),
+            } => self.request_status(purpose, host, address),
             Action::Order {
                 host,
                 address,
                 order,
                 valid_until,
-            } => self.give_order(host, address, order, valid_until),
-            Action::Send(attempt) => self.send(attempt),
+            } => self.send_order(host, address, order, valid_until),
+            Action::Send(attempt) => self.start_attempt(attempt),
             Action::Abandon(attempt) => {
                 // Dropping the task closes the connection.
                 lock(&self.attempts).remove(&attempt);
@@ -203,13 +206,13 @@
                     driver.dispatch(Event::UpstreamChecked { upstream, is_gone });
                 });
             }
-            Action::Answer { request, outcome } => self.answer(request, outcome),
+            Action::Answer { request, outcome } => self.finish_request(request, outcome),
             Action::AnswerOperator { call_id, answer } => {
-                self.operators.answer(&call_id, answer);
+                self.operator_calls.resolve(&call_id, answer);
             }
             Action::Log(line) => logs::write(&line),
             Action::Stopped => {
-                let _ = self.stopped.try_send(());
+                let _ = self.stop_sender.try_send(());
             }
         }
     }
@@ -241,11 +244,13 @@
 
     fn pull(self: &Arc<Self>, to: Address, pull: Pull) {
         let (asked_at, topic) = (self.now(), pull.topic);
-        self.peer_traffic.asked(topic, &self.metrics);
+        self.peer_traffic.record_sent(topic, &self.metrics);
         self.spawn(move |driver| async move {
             let pulled = driver.clients.peers.pull(to, &pull).await;
             let bytes = pulled.as_ref().map(|pulled| pulled.bytes);
-            driver.peer_traffic.ended(topic, bytes, &driver.metrics);
+            driver
+                .peer_traffic
+                .record_end(topic, bytes, &driver.metrics);
             let reply = pulled.map(|pulled| pulled.reply);
             driver.dispatch(Event::PullAnswered {
                 topic,
@@ -255,7 +260,7 @@
         });
     }
 
-    fn ask_status(
+    fn request_status(
         self: &Arc<Self>,
         purpose: StatusPurpose,
         host: Option<HostId>,
@@ -274,7 +279,7 @@
         });
     }
 
-    fn give_order(
+    fn send_order(
         self: &Arc<Self>,
         host: HostId,
         address: Address,
@@ -299,8 +304,8 @@
         });
     }
 
-    fn send(self: &Arc<Self>, attempt: Attempt) {
-        let Some(caller) = self.callers.get(attempt.request) else {
+    fn start_attempt(self: &Arc<Self>, attempt: Attempt) {
+        let Some(pending) = self.pending_requests.get(attempt.request) else {
             return;
         };
         self.metrics.count(Counter::Attempts);
@@ -310,15 +315,15 @@
         // its own entry.
         let mut attempts = lock(&self.attempts);
         let task = spawn(async move {
-            let sink = PartSink {
+            let sink = CallerSink {
                 driver: driver.clone(),
                 attempt: attempt.clone(),
-                parts: caller.parts,
-                told_at: AtomicU64::new(0),
+                parts: pending.parts,
+                reported_at_ms: AtomicU64::new(0),
             };
             // Last check of the upstream's validity before the request is sent.
             let end = if driver.now() < attempt.valid_until {
-                attempt::run(&driver.upstreams, &attempt, &caller.outgoing, &sink).await
+                attempt::run(&driver.upstream_client, &attempt, &pending.outgoing, &sink).await
             } else {
                 AttemptEnd::NotSent
             };
@@ -334,7 +339,7 @@
         attempts.insert(id, task);
     }
 
-    fn answer(&self, request: RequestId, outcome: Outcome) {
+    fn finish_request(&self, request: RequestId, outcome: Outcome) {
         if let Outcome::NotRun {
             reason: NotRunReason::Quarantined,
             ..
@@ -348,51 +353,51 @@
             Outcome::NotRun { .. } => Counter::NotRun,
             Outcome::Unknown { .. } => Counter::Unknown,
         });
-        self.callers.end(request, outcome);
+        self.pending_requests.complete(request, outcome);
     }
 }
 
 /// Passes response parts of one attempt to the caller's task and reports output to the core.
-struct PartSink {
+struct CallerSink {
     driver: Arc<Driver>,
     attempt: Attempt,
-    parts: Sender<CallerPart>,
+    parts: Sender<CallerMessage>,
     /// Time of the last report of output to the core, in milliseconds of the core's time;
     /// 0 before the first report.
-    told_at: AtomicU64,
+    reported_at_ms: AtomicU64,
 }
 
 /// Minimum time between two reports of further output of one attempt, in milliseconds.
-const PROGRESS_INTERVAL: u64 = 100;
+const PROGRESS_INTERVAL_MS: u64 = 100;
 
-impl PartSink {
+impl CallerSink {
     /// Reports to the core that output arrived.
-    fn tell_core(&self) {
+    fn report_output(&self) {
         let now = self.driver.now().as_duration().as_millis() as u64;
-        let told_at = self.told_at.load(Ordering::Relaxed);
+        let reported_at_ms = self.reported_at_ms.load(Ordering::Relaxed);
         let (request, attempt) = (self.attempt.request, self.attempt.id);
-        if told_at == 0 {
+        if reported_at_ms == 0 {
             self.driver.dispatch(Event::Output { request, attempt });
-        } else if now >= told_at + PROGRESS_INTERVAL {
+        } else if now >= reported_at_ms + PROGRESS_INTERVAL_MS {
             self.driver.dispatch(Event::Progress { request, attempt });
         } else {
             return;
         }
-        self.told_at.store(now.max(1), Ordering::Relaxed);
+        self.reported_at_ms.store(now.max(1), Ordering::Relaxed);
     }
 }
 
-impl ResponseSink for PartSink {
+impl ResponseSink for CallerSink {
     async fn pass(&self, part: ResponsePart) {
         // A failed attempt may be retried, so its response does not count as output yet.
         let is_failure = matches!(&part, ResponsePart::Whole(whole) if whole.status >= 500);
         if !is_failure {
-            self.tell_core();
+            self.report_output();
         }
         // A send error means that the caller has disconnected, which the caller's own task
         // reports. The attempt goes on until the core cancels it, or to its end if the request
         // must not be repeated.
-        let _ = self.parts.send(CallerPart::Part(part)).await;
+        let _ = self.parts.send(CallerMessage::Part(part)).await;
     }
 
     fn on_signal(&self, signal: UpstreamSignal) {
--- a/shalehinge/src/process/peer_traffic.rs
+++ b/shalehinge/src/process/peer_traffic.rs
@@ -14,10 +14,10 @@
 use crate::telemetry::metrics::{Counter, Metrics};
 
 /// Minimum time between two log lines.
-const INTERVAL: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Bytes of replies in one interval from which a line is logged. The replies of an ordinary
 /// interval amount to about 20 kB in a fleet of seventy daemons.
-const NOTABLE_BYTES: usize = 200_000;
+const LOG_THRESHOLD_BYTES: usize = 200_000;
 
 /// Counts of the pulls of one topic.
 #[derive(Clone, Copy, Debug, Default)]
@@ -46,16 +46,16 @@
 #[derive(Debug, Default)]
 /// Counts since the last log line.
 struct Interval {
-    began_at: Timestamp,
+    started_at: Timestamp,
     all: TopicCounts,
     objects: TopicCounts,
     moving: TopicCounts,
     whole_objects: TopicCounts,
-    latest_tick: Duration,
+    max_tick_delay: Duration,
 }
 
 impl Interval {
-    fn of(&mut self, topic: PullTopic) -> &mut TopicCounts {
+    fn counts_of(&mut self, topic: PullTopic) -> &mut TopicCounts {
         match topic {
             PullTopic::All => &mut self.all,
             PullTopic::Objects => &mut self.objects,
@@ -68,20 +68,20 @@
         let topics = [self.all, self.objects, self.moving, self.whole_objects];
         let bytes: usize = topics.iter().map(|topic| topic.bytes).sum();
         let unanswered: u32 = topics.iter().map(|topic| topic.unanswered).sum();
-        unanswered > 0 || bytes >= NOTABLE_BYTES
+        unanswered > 0 || bytes >= LOG_THRESHOLD_BYTES
     }
 
     /// Starts a new interval; pulls that are still open stay counted as open.
-    fn restart(&mut self, now: Timestamp) {
-        self.began_at = now;
-        self.latest_tick = Duration::ZERO;
+    fn reset(&mut self, now: Timestamp) {
+        self.started_at = now;
+        self.max_tick_delay = Duration::ZERO;
         for topic in [
             PullTopic::All,
             PullTopic::Objects,
             PullTopic::Moving,
             PullTopic::WholeObjects,
         ] {
-            let counts = self.of(topic);
+            let counts = self.counts_of(topic);
             *counts = TopicCounts {
                 open: counts.open,
                 ..TopicCounts::default()
@@ -96,15 +96,15 @@
 
 impl PeerTraffic {
     /// Records that a pull was sent.
-    pub fn asked(&self, topic: PullTopic, metrics: &Metrics) {
+    pub fn record_sent(&self, topic: PullTopic, metrics: &Metrics) {
         metrics.count(Counter::Pulls);
-        self.lock().of(topic).open += 1;
+        self.lock().counts_of(topic).open += 1;
     }
 
     /// Records that a pull ended. `bytes` is the size of the reply, `None` if no reply came.
-    pub fn ended(&self, topic: PullTopic, bytes: Option<usize>, metrics: &Metrics) {
+    pub fn record_end(&self, topic: PullTopic, bytes: Option<usize>, metrics: &Metrics) {
         let mut interval = self.lock();
-        let counts = interval.of(topic);
+        let counts = interval.counts_of(topic);
         counts.open = counts.open.saturating_sub(1);
         match bytes {
             Some(bytes) => {
@@ -123,8 +123,8 @@
     /// pulls went unanswered or the replies were large.
     pub fn tick(&self, now: Timestamp, late_by: Duration) -> Option<String> {
         let mut interval = self.lock();
-        interval.latest_tick = interval.latest_tick.max(late_by);
-        if now.since(interval.began_at) < INTERVAL {
+        interval.max_tick_delay = interval.max_tick_delay.max(late_by);
+        if now.since(interval.started_at) < LOG_INTERVAL {
             return None;
         }
         let line = interval.is_notable().then(|| {
@@ -134,10 +134,10 @@
                 interval.objects,
                 interval.moving,
                 interval.whole_objects,
-                interval.latest_tick.as_millis()
+                interval.max_tick_delay.as_millis()
             )
         });
-        interval.restart(now);
+        interval.reset(now);
         line
     }
 
--- a/shalehinge/src/process/run.rs
+++ b/shalehinge/src/process/run.rs
@@ -31,7 +31,7 @@
 const MAX_CONTROL_CONNECTIONS: usize = 1_000;
 /// Number of random low bits of an incarnation; the bits above hold the wall clock in
 /// milliseconds.
-const RANDOM_BITS: u32 = 16;
+const INCARNATION_RANDOM_BITS: u32 = 16;
 
 /// The daemon's bound listeners and their addresses.
 struct Listeners {
@@ -68,7 +68,7 @@
         engines: Box::new(HttpEngineClient::new(timeouts.engine)),
         peers: PeerClient::new(timeouts.peer),
     };
-    run_with(settings, clients, None).await
+    run_with_clients(settings, clients, None).await
 }
 
 /// Runs a daemon with the given clients until it receives a termination signal. With `relay`,
@@ -78,14 +78,14 @@
 /// # Errors
 ///
 /// Returns an error if one of the listeners can't be bound.
-pub async fn run_with(
+pub async fn run_with_clients(
     settings: Settings,
     clients: Clients,
     relay: Option<RelayHeaderNames>,
 ) -> Result<(), ListenError> {
     task::set_threads(settings.daemon.threads);
-    let listeners = listen(&settings)?;
-    let (driver, has_stopped) = build(&settings, listeners.peer_address, clients);
+    let listeners = bind_listeners(&settings)?;
+    let (driver, stop_receiver) = build_driver(&settings, listeners.peer_address, clients);
     log::info!(
         "daemon: {} in {} listens to callers on {}, to operators on {}, to peers on {}",
         settings.daemon.name,
@@ -96,25 +96,25 @@
     );
     let ready_address = listeners.ready_address();
     log::info!("daemon: reports readiness on {ready_address}");
-    let servers = serve(&settings, &driver, listeners, relay);
-    let ticks = spawn(tick(driver.clone()));
-    wait_for_signal().await;
+    let servers = spawn_servers(&settings, &driver, listeners, relay);
+    let ticks = spawn(run_ticks(driver.clone()));
+    wait_for_termination().await;
     if let Some(linger) = settings.daemon.limits.linger {
         driver.dispatch(Event::Leave);
         Timer::after(linger).await;
     }
     driver.dispatch(Event::Stop);
     let limit = settings.daemon.limits.stop_within;
-    if with_timeout(limit, has_stopped.recv()).await.is_none() {
+    if with_timeout(limit, stop_receiver.recv()).await.is_none() {
         log::warn!("daemon: requests still in progress after {limit:?}, stopping anyway");
     }
-    shut_down(servers, limit).await;
+    shut_down_servers(servers, limit).await;
     drop(ticks);
     log::info!("daemon: stopped");
     Ok(())
 }
 
-fn listen(settings: &Settings) -> Result<Listeners, ListenError> {
+fn bind_listeners(settings: &Settings) -> Result<Listeners, ListenError> {
     let daemon = &settings.daemon;
     let (callers, caller_address) = bind(daemon.callers)?;
     let (operators, operator_address) = bind(daemon.operators)?;
@@ -134,15 +134,15 @@
     })
 }
 
-fn build(
+fn build_driver(
     settings: &Settings,
     peer_address: SocketAddr,
     clients: Clients,
 ) -> (Arc<Driver>, async_channel::Receiver<()>) {
     let daemon = &settings.daemon;
     let wall_clock = wall_clock();
-    let random = fastrand::u64(..1 << RANDOM_BITS);
-    let incarnation = ((wall_clock.as_millis() as u64) << RANDOM_BITS) | random;
+    let random = fastrand::u64(..1 << INCARNATION_RANDOM_BITS);
+    let incarnation = ((wall_clock.as_millis() as u64) << INCARNATION_RANDOM_BITS) | random;
     let identity = Identity {
         daemon: DaemonId::new(&daemon.name),
         failure_domain: FailureDomain::new(&daemon.failure_domain),
@@ -156,7 +156,7 @@
     Driver::new(core, clients, Metrics::new(daemon.statsd))
 }
 
-fn serve(
+fn spawn_servers(
     settings: &Settings,
     driver: &Arc<Driver>,
     listeners: Listeners,
@@ -168,41 +168,41 @@
         limits,
     };
     let token = settings.daemon.token_sha256.clone();
-    let callers = HttpConfig::default()
+    let caller_config = HttpConfig::default()
         .with_head_max_len(limits.max_head_bytes)
         .with_received_body_max_len(limits.max_body_bytes);
-    let control = HttpConfig::default();
+    let control_config = HttpConfig::default();
     let mut servers = Vec::new();
     if let Some((listener, _)) = listeners.ready {
-        let handler = gateway::handler::ready_handler(context.clone());
+        let handler = gateway::handler::readiness_handler(context.clone());
         servers.push(spawn_server(
             listener,
-            control,
+            control_config,
             MAX_CONTROL_CONNECTIONS,
             handler,
         ));
     }
-    let most = limits.max_connections;
+    let max_connections = limits.max_connections;
     servers.push(match relay {
         Some(names) => {
             let handler = gateway::handler::relay_handler(context, names);
-            spawn_server(listeners.callers, callers, most, handler)
+            spawn_server(listeners.callers, caller_config, max_connections, handler)
         }
         None => {
             let handler = gateway::handler::handler(context);
-            spawn_server(listeners.callers, callers, most, handler)
+            spawn_server(listeners.callers, caller_config, max_connections, handler)
         }
     });
     servers.extend([
         spawn_server(
             listeners.operators,
-            control,
+            control_config,
             MAX_CONTROL_CONNECTIONS,
             operator_api::handler(driver.clone(), token),
         ),
         spawn_server(
             listeners.peers,
-            control,
+            control_config,
             MAX_CONTROL_CONNECTIONS,
             peer::server::handler(driver.clone()),
         ),
@@ -225,7 +225,7 @@
         .spawn(handler)
 }
 
-async fn tick(driver: Arc<Driver>) {
+async fn run_ticks(driver: Arc<Driver>) {
     let mut late_by = Duration::ZERO;
     loop {
         driver.tick(late_by);
@@ -237,7 +237,7 @@
 
 /// Waits for SIGTERM or SIGINT. SIGHUP is only logged: changed settings take effect at the next
 /// start.
-async fn wait_for_signal() {
+async fn wait_for_termination() {
     match Signals::new([Signal::Term, Signal::Int, Signal::Hup]) {
         Ok(mut signals) => {
             while let Some(Ok(Signal::Hup)) = signals.next().await {
@@ -254,7 +254,7 @@
 }
 
 /// Shuts the servers down one after another, with `limit` for each to finish its connections.
-async fn shut_down(servers: Vec<ServerHandle>, limit: Duration) {
+async fn shut_down_servers(servers: Vec<ServerHandle>, limit: Duration) {
     for server in servers {
         if with_timeout(limit, server.shut_down()).await.is_none() {
             log::warn!("daemon: connections still open after {limit:?}");
--- a/shalehinge/tests/peer_traffic.rs
+++ b/shalehinge/tests/peer_traffic.rs
@@ -16,8 +16,8 @@
 #[test]
 fn small_answers_are_not_worth_a_line() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
-    traffic.asked(PullTopic::All, &metrics);
-    traffic.ended(PullTopic::All, Some(4_000), &metrics);
+    traffic.record_sent(PullTopic::All, &metrics);
+    traffic.record_end(PullTopic::All, Some(4_000), &metrics);
     assert_eq!(traffic.tick(at(1_000), ON_TIME), None);
 }
 
@@ -25,10 +25,10 @@
 fn a_full_link_is_told_apart_from_a_late_process() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
     for _ in 0..3 {
-        traffic.asked(PullTopic::All, &metrics);
+        traffic.record_sent(PullTopic::All, &metrics);
     }
-    traffic.asked(PullTopic::WholeObjects, &metrics);
-    traffic.ended(PullTopic::All, None, &metrics);
+    traffic.record_sent(PullTopic::WholeObjects, &metrics);
+    traffic.record_end(PullTopic::All, None, &metrics);
     assert_eq!(traffic.tick(at(500), Duration::from_millis(7)), None);
     let line = traffic.tick(at(1_000), ON_TIME).expect("worth a line");
     assert!(
@@ -45,12 +45,12 @@
 #[test]
 fn what_is_open_stays_open_and_the_rest_begins_anew() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
-    traffic.asked(PullTopic::Objects, &metrics);
-    traffic.asked(PullTopic::Objects, &metrics);
-    traffic.ended(PullTopic::Objects, Some(300_000), &metrics);
+    traffic.record_sent(PullTopic::Objects, &metrics);
+    traffic.record_sent(PullTopic::Objects, &metrics);
+    traffic.record_end(PullTopic::Objects, Some(300_000), &metrics);
     assert!(traffic.tick(at(1_000), ON_TIME).is_some());
     assert_eq!(traffic.tick(at(1_500), ON_TIME), None, "once a second");
-    traffic.ended(PullTopic::Objects, None, &metrics);
+    traffic.record_end(PullTopic::Objects, None, &metrics);
     let line = traffic.tick(at(2_000), ON_TIME).expect("one unanswered");
     let objects = "objects: 0 answered with 0 bytes, 1 unanswered, 0 open";
     assert!(line.contains(objects), "{line}");
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -8,7 +8,7 @@
 
 use argh::FromArgs;
 use serde::{Deserialize, Serialize};
-use shalehinge::gateway::intake::KEY_HEADER;
+use shalehinge::gateway::request_input::IDEMPOTENCY_KEY_HEADER;
 use shalehinge::upstream::signal::LEAVING_HEADER;
 use smol::Timer;
 use trillium::{Conn, Handler, KnownHeaderName, Status};
@@ -114,7 +114,7 @@
     if fault == ServiceFault::SaysLeaving {
         conn = conn.with_response_header(LEAVING_HEADER, "1");
     }
-    let key = conn.request_headers().get_str(KEY_HEADER);
+    let key = conn.request_headers().get_str(IDEMPOTENCY_KEY_HEADER);
     let key = key.unwrap_or("without a key").to_owned();
     let Ok(body) = conn.request_body().read_bytes().await else {
         return conn.with_status(Status::BadRequest).halt();
