--- a/shalehinge/tests/engine_cooldowns.rs
+++ b/shalehinge/tests/engine_cooldowns.rs
@@ -1,4 +1,5 @@
-//! Engines and plain services that ask for a cooldown or leave, behind the product's own interface.
+//! Engines and plain services that request a cooldown or announce that they are leaving, by the
+//! HTTP interface of this project.
 
 mod process_support;
 
@@ -8,9 +9,11 @@
 use standin::engine::faults::EngineFault;
 use standin::service::{ServiceFault, TURNED_AWAY};
 
-/// Requests that users allow in a cooldown, and the one that learns of it.
+/// Maximum number of requests that may reach an upstream in a cooldown, including the one whose
+/// response requests it. Users of the system set this bound.
 const ALLOWED: usize = 3;
 
+/// Sends one chat request, without retries.
 fn chat_once(daemon: &DaemonProcess) -> Answer {
     let bearer = format!("Bearer {KEY}");
     let headers = [("Authorization", bearer.as_str())];
@@ -24,13 +27,14 @@
     )
 }
 
+/// Calls the plain service.
 fn call_service(daemon: &DaemonProcess) -> Answer {
     let bearer = format!("Bearer {KEY}");
     let headers = [("Authorization", bearer.as_str())];
     exchange(daemon.callers, "GET", "/rutas/1", &headers, "")
 }
 
-/// Attempts that the daemon made at replicas.
+/// Number of attempts that the daemon has made at replicas of the model `m`.
 fn attempts(daemon: &DaemonProcess) -> usize {
     let text = daemon.log_text();
     let lines = text.lines();
@@ -55,7 +59,7 @@
     let made = attempts(&daemon) - before;
     assert!(made <= ALLOWED, "{made} attempts, allowed {ALLOWED}");
     fleet.engine_fault(EngineFault::None);
-    wait_for("it is served again", || {
+    wait_for("requests are served again", || {
         (chat_once(&daemon).status == 200).then_some(())
     });
 }
@@ -70,7 +74,7 @@
     fleet.engine_fault(EngineFault::None);
     let before = attempts(&daemon);
     for _ in 0..5 {
-        assert_eq!(chat_once(&daemon).status, 503, "no other replica is there");
+        assert_eq!(chat_once(&daemon).status, 503, "there is no other replica");
     }
     assert_eq!(attempts(&daemon), before);
 }
@@ -88,7 +92,7 @@
     let made = fleet.service_calls(TURNED_AWAY);
     assert!(made <= ALLOWED as u64, "{made} calls, allowed {ALLOWED}");
     fleet.service_fault(&ServiceFault::None);
-    wait_for("it is served again", || {
+    wait_for("requests are served again", || {
         (call_service(&daemon).status == 200).then_some(())
     });
 }
@@ -101,7 +105,11 @@
     assert_eq!(call_service(&daemon).status, 200);
     fleet.service_fault(&ServiceFault::None);
     for _ in 0..5 {
-        assert_eq!(call_service(&daemon).status, 503, "no other one is there");
+        assert_eq!(
+            call_service(&daemon).status,
+            503,
+            "there is no other instance"
+        );
     }
     assert_eq!(fleet.service_calls("without a key"), 1);
 }
--- a/shalehinge/tests/engine_limits.rs
+++ b/shalehinge/tests/engine_limits.rs
@@ -1,5 +1,5 @@
-//! Engines in need, behind the product's own interface: what they name as their limit is kept by
-//! all daemons together, and callers of the only replica are served as it allows.
+//! Overloaded engines that name a request limit, by the HTTP interface of this project: all
+//! daemons together keep the limit, and callers of the only replica are served within it.
 
 mod process_support;
 
@@ -8,11 +8,12 @@
 use process_support::{Fleet, chat, chat_body, wait_for};
 use standin::engine::faults::EngineFault;
 
-/// Requests a second that the engine takes, in tenths.
+/// Request rate that the engine accepts, in tenths of a request per second.
 const TENTHS_A_SECOND: u32 = 20;
-/// Callers come for so long, or longer where the machine is busy.
+/// Minimum duration of the load; it takes longer on a busy machine.
 const LASTS: Duration = Duration::from_secs(6);
-/// Requests that users allow beside one and a half times the limit.
+/// Requests allowed in addition to one and a half times the limit. Users of the system set this
+/// bound.
 const ALLOWED_BESIDE: f64 = 5.0;
 
 #[test]
@@ -20,7 +21,7 @@
     let mut fleet = Fleet::new("names-limit", 2);
     let first = fleet.serving();
     let second = fleet.daemon(&[first.peers]);
-    wait_for("the second serves", || {
+    wait_for("the second daemon serves", || {
         (second.eligible() == 1).then_some(())
     });
     let tenths_a_second = TENTHS_A_SECOND;
@@ -49,7 +50,7 @@
     );
     assert!(served >= 3, "{served} ran");
     fleet.engine_fault(EngineFault::None);
-    wait_for("the limit ends", || {
+    wait_for("the limit is lifted", || {
         chat(first.callers, &[], &chat_body(2, false));
         let text = [first.log_text(), second.log_text()].concat();
         text.contains("names no limit any more").then_some(())
--- a/shalehinge/tests/gateway.rs
+++ b/shalehinge/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! Callers before a real daemon: bad input, bad upstreams, and what is said.
+//! The gateway of a real daemon process: invalid requests, faulty upstreams, disconnects and
+//! planned stops, and what callers are told about each.
 
 mod process_support;
 
@@ -41,13 +42,14 @@
     let answer = exchange(to, "GET", "/v1/models", &[], "");
     assert_eq!(answer.status, 401);
 
-    // Half a request, and then silence: its answer comes, and others are served.
+    // An incomplete request whose caller then sends nothing: it is answered, and other callers
+    // are served meanwhile.
     let half = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: t\r\nAuthorization: Bearer {KEY}\r\nContent-Length: 500\r\n\r\n{{"
     );
     let slow = std::thread::spawn(move || send_raw(to, half.as_bytes()));
     assert_eq!(chat(to, &[], &good).status, 200);
-    let slow = slow.join().expect("answered");
+    let slow = slow.join().expect("the request thread succeeds");
     assert_eq!(slow.status, 408);
     assert_eq!(slow.header("connection"), Some("close"));
 
@@ -101,17 +103,19 @@
     let mut fleet = Fleet::new("stream", 2);
     let daemon = fleet.serving();
     let body = chat_body(200, true);
-    let mut stream = TcpStream::connect(daemon.callers).expect("connects");
+    let mut stream = TcpStream::connect(daemon.callers).expect("can connect");
     let request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: t\r\nConnection: close\r\nAuthorization: Bearer {KEY}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(request.as_bytes()).expect("sends");
+    stream
+        .write_all(request.as_bytes())
+        .expect("can send the request");
     let mut text = String::new();
     let mut piece = [0; 4096];
     let mut reads_with_tokens = 0;
     loop {
-        let length = stream.read(&mut piece).expect("reads");
+        let length = stream.read(&mut piece).expect("can read the response");
         if length == 0 {
             break;
         }
@@ -123,7 +127,7 @@
     assert!(text.contains("data: [DONE]"));
     assert!(
         reads_with_tokens > 20,
-        "tokens came in {reads_with_tokens} reads"
+        "tokens arrived in only {reads_with_tokens} reads"
     );
 }
 
@@ -133,8 +137,9 @@
     let daemon = fleet.serving();
     fleet.engine_fault(EngineFault::Silent);
     let headers = [("X-Deadline-Ms", "500")];
-    // On a busy machine the deadline may pass before it is sent: not run, then.
-    let answer = wait_for("the request is sent in time", || {
+    // On a busy machine the deadline may pass before the request is sent to an upstream; it then
+    // counts as not run.
+    let answer = wait_for("the request is sent before its deadline", || {
         let answer = chat(daemon.callers, &headers, &chat_body(4, false));
         let is_not_run = answer.header("x-shalehinge-outcome") == Some("not_run");
         (!is_not_run).then_some(answer)
@@ -148,14 +153,16 @@
     let mut fleet = Fleet::new("caller-leaves", 2);
     let daemon = fleet.serving();
     let body = chat_body(100_000, true);
-    let mut stream = TcpStream::connect(daemon.callers).expect("connects");
+    let mut stream = TcpStream::connect(daemon.callers).expect("can connect");
     let request = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: t\r\nAuthorization: Bearer {KEY}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    stream.write_all(request.as_bytes()).expect("sends");
+    stream
+        .write_all(request.as_bytes())
+        .expect("can send the request");
     let mut piece = [0; 100];
-    stream.read_exact(&mut piece).expect("begins");
+    stream.read_exact(&mut piece).expect("the stream starts");
     drop(stream);
     wait_for("the request has ended", || {
         daemon
@@ -163,7 +170,7 @@
             .contains("reason: CallerLeft")
             .then_some(())
     });
-    wait_for("the engine has nothing to do", || {
+    wait_for("the engines are idle", || {
         let idle = fleet.engines.iter().all(|engine| {
             let status = exchange(engine.address, "GET", "/v1/status", &[], "");
             status.body.contains("\"running\":0")
@@ -194,10 +201,10 @@
         daemon.log_text().contains("attempt 1").then_some(())
     });
     daemon.signal("-TERM");
-    wait_for("it is not ready any more", || {
+    wait_for("the daemon is not ready any more", || {
         (exchange(to, "GET", "/readyz", &[], "").status != 200).then_some(())
     });
-    let answer = stream.join().expect("answered");
+    let answer = stream.join().expect("the request thread succeeds");
     assert_eq!(answer.body.matches("data: {").count(), 300);
     assert!(answer.body.contains("data: [DONE]"));
     assert!(daemon.wait().success());
--- a/shalehinge/tests/http_client.rs
+++ b/shalehinge/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! What a call to another process leaves behind when it is given up.
+//! Reuse and closing of HTTP client connections after complete and abandoned responses.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 
 use shalehinge::utils::http::{exchange, pooled_client, url};
 
-/// More than a piece, and less than a client takes in whole.
+/// Larger than one chunk, but small enough that a client would accept the whole response.
 const ANSWER_BYTES: usize = 8 * 1024 * 1024;
 const PIECE: usize = 64 * 1024;
 
@@ -15,37 +15,39 @@
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("can read the request");
         head.push(byte[0]);
     }
 }
 
-/// Sends the first piece of a long answer, and once the caller gave it up the rest, as long as
-/// somebody takes it; returns the bytes that were taken.
+/// Sends the first chunk of a long response. After the client has abandoned the response, sends
+/// the rest until the connection fails. Returns the number of bytes sent.
 fn answer_at_length(listener: &TcpListener, given_up: &Receiver<()>) -> usize {
-    let (mut stream, _) = listener.accept().expect("a caller");
+    let (mut stream, _) = listener.accept().expect("can accept a connection");
     read_request(&mut stream);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {ANSWER_BYTES}\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("a head");
+    stream
+        .write_all(head.as_bytes())
+        .expect("can send the head");
     let piece = [b'x'; PIECE];
-    stream.write_all(&piece).expect("a piece");
-    given_up.recv().expect("given up");
+    stream.write_all(&piece).expect("can send the first chunk");
+    given_up.recv().expect("the client abandons the response");
     let mut sent = PIECE;
     while sent < ANSWER_BYTES && stream.write_all(&piece).is_ok() {
         sent += PIECE;
-        // Leaves a closed connection the time to show.
+        // Gives a closed connection time to be detected.
         std::thread::sleep(Duration::from_millis(5));
     }
     sent
 }
 
-/// A daemon that is behind gives up answers that take too long. What is left of them must not
-/// go on filling its link: the library would else read each to its end, to use the connection
-/// again.
+/// A daemon that lags behind abandons responses that take too long. The rest of them must not
+/// keep filling its link: the HTTP library would read each to its end in order to reuse the
+/// connection.
 #[test]
 fn an_answer_that_is_given_up_is_not_read_on() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
+    let address = listener.local_addr().expect("has a local address");
     let (give_up, given_up) = mpsc::channel();
     let server = std::thread::spawn(move || answer_at_length(&listener, &given_up));
     let client = pooled_client();
@@ -54,17 +56,20 @@
         Duration::from_millis(100),
     ));
     assert_eq!(answer, None);
-    give_up.send(()).expect("waits");
-    let sent = server.join().expect("ends");
-    assert!(sent < ANSWER_BYTES, "all of it was read");
+    give_up.send(()).expect("the server is waiting");
+    let sent = server.join().expect("the server thread succeeds");
+    assert!(
+        sent < ANSWER_BYTES,
+        "the client read the whole abandoned response"
+    );
 }
 
-/// Answers so many requests on one connection; returns how many came on it.
+/// Answers up to `requests` requests on one connection; returns how many arrived on it.
 fn answer_on_one_connection(listener: &TcpListener, requests: usize) -> usize {
-    let (mut stream, _) = listener.accept().expect("a caller");
+    let (mut stream, _) = listener.accept().expect("can accept a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
-        .expect("set");
+        .expect("can set a read time-out");
     let mut answered = 0;
     while answered < requests {
         let mut head = Vec::new();
@@ -77,7 +82,7 @@
         }
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            .expect("an answer");
+            .expect("can send the response");
         answered += 1;
     }
     answered
@@ -86,13 +91,13 @@
 #[test]
 fn a_connection_whose_answer_was_read_whole_is_used_again() {
     const REQUESTS: usize = 3;
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
+    let address = listener.local_addr().expect("has a local address");
     let server = std::thread::spawn(move || answer_on_one_connection(&listener, REQUESTS));
     let client = pooled_client();
     for _ in 0..REQUESTS {
         let call = exchange(client.get(url(address, "/short")), Duration::from_secs(2));
         smol::block_on(call);
     }
-    assert_eq!(server.join().expect("ends"), REQUESTS);
+    assert_eq!(server.join().expect("the server thread succeeds"), REQUESTS);
 }
--- a/shalehinge/tests/peer_traffic.rs
+++ b/shalehinge/tests/peer_traffic.rs
@@ -1,4 +1,4 @@
-//! What the log says of questions to peers.
+//! The log line and the metrics on pulls from peers.
 
 use std::time::Duration;
 
@@ -30,7 +30,9 @@
     traffic.record_sent(PullTopic::WholeObjects, &metrics);
     traffic.record_end(PullTopic::All, None, &metrics);
     assert_eq!(traffic.tick(at(500), Duration::from_millis(7)), None);
-    let line = traffic.tick(at(1_000), ON_TIME).expect("worth a line");
+    let line = traffic
+        .tick(at(1_000), ON_TIME)
+        .expect("an unanswered pull is logged");
     assert!(
         line.starts_with("all: 0 answered with 0 bytes, 1 unanswered, 2 open;"),
         "{line}"
@@ -49,9 +51,15 @@
     traffic.record_sent(PullTopic::Objects, &metrics);
     traffic.record_end(PullTopic::Objects, Some(300_000), &metrics);
     assert!(traffic.tick(at(1_000), ON_TIME).is_some());
-    assert_eq!(traffic.tick(at(1_500), ON_TIME), None, "once a second");
+    assert_eq!(
+        traffic.tick(at(1_500), ON_TIME),
+        None,
+        "at most one line per second"
+    );
     traffic.record_end(PullTopic::Objects, None, &metrics);
-    let line = traffic.tick(at(2_000), ON_TIME).expect("one unanswered");
+    let line = traffic
+        .tick(at(2_000), ON_TIME)
+        .expect("an unanswered pull is logged");
     let objects = "objects: 0 answered with 0 bytes, 1 unanswered, 0 open";
     assert!(line.contains(objects), "{line}");
     let page = metrics.page();
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -1,7 +1,8 @@
-//! Daemons as processes of their own, before stand-ins in this one.
+//! Runs daemons as separate processes against stand-ins for the platform, engines and services
+//! in the test process.
 //!
-//! Nothing is waited for by time: a condition is polled, with a generous bound.
-//! Every process that was started is ended by its id, also when a test fails.
+//! Tests poll for conditions, with a generous time-out, instead of sleeping for fixed times.
+//! Every daemon process is killed when its handle is dropped, also when a test fails.
 
 #![allow(dead_code)]
 
@@ -24,8 +25,11 @@
 use standin::platform::store::Fault;
 use standin::service::{ServiceArguments, ServiceFault};
 
+/// The operators' token.
 const TOKEN: &str = "token";
+/// API key of the customer `c` in the test configuration.
 pub const KEY: &str = "key";
+/// Time-out of each wait and read. It is generous, as the machine may be busy.
 const BOUND: Duration = Duration::from_secs(120);
 
 fn any_port() -> SocketAddr {
@@ -37,27 +41,35 @@
     hex(&sha2::Sha256::digest(text.as_bytes()))
 }
 
-/// Polls until the condition gives something.
+/// Polls until the condition returns a value.
+///
+/// # Panics
+///
+/// Panics with `what` if the condition returns no value within the time-out.
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + BOUND;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < end, "waited too long: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An answer over HTTP/1.1, read to the end of the connection.
+/// An HTTP/1.1 response, read until the connection is closed.
 #[derive(Debug)]
 pub struct Answer {
+    /// HTTP status; 0 if the status line can't be parsed.
     pub status: u16,
+    /// Status line and headers.
     pub head: String,
+    /// Everything after the headers, without decoding of chunked bodies.
     pub body: String,
 }
 
 impl Answer {
+    /// Value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -66,11 +78,13 @@
     }
 }
 
-/// Sends bytes as they are and reads what comes back.
+/// Sends raw bytes and reads the response.
 pub fn send_raw(to: SocketAddr, bytes: &[u8]) -> Answer {
-    let mut stream = TcpStream::connect(to).expect("connects");
-    stream.set_read_timeout(Some(BOUND)).expect("a timeout");
-    stream.write_all(bytes).expect("sends");
+    let mut stream = TcpStream::connect(to).expect("can connect");
+    stream
+        .set_read_timeout(Some(BOUND))
+        .expect("can set a read time-out");
+    stream.write_all(bytes).expect("can send the request");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     let text = String::from_utf8_lossy(&answer).into_owned();
@@ -83,6 +97,7 @@
     }
 }
 
+/// Sends a request and reads the response.
 pub fn exchange(
     to: SocketAddr,
     method: &str,
@@ -102,14 +117,15 @@
     send_raw(to, request.as_bytes())
 }
 
+/// Body of a chat completion request for the model `m`.
 pub fn chat_body(max_tokens: u32, stream: bool) -> String {
     format!(
         r#"{{"model": "m", "max_tokens": {max_tokens}, "stream": {stream}, "messages": [{{"role": "user", "content": "dial"}}]}}"#
     )
 }
 
-/// Sends a chat request, and again when it was told to come back: on a busy
-/// machine a report may be late, and its replica is out of routing until the next.
+/// Sends a chat request and retries while no replica is available: on a busy machine a status
+/// report may be late, which takes the replica out of routing until the next one.
 pub fn chat(to: SocketAddr, headers: &[(&str, &str)], body: &str) -> Answer {
     let bearer = format!("Bearer {KEY}");
     let mut all = vec![("Authorization", bearer.as_str())];
@@ -121,56 +137,72 @@
     })
 }
 
-/// A daemon's process.
+/// A running daemon process; killed on drop.
 pub struct DaemonProcess {
     child: Child,
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
+    /// Address of the listener for peers.
     pub peers: SocketAddr,
+    /// Path of the log file.
     pub log: PathBuf,
 }
 
 impl DaemonProcess {
+    /// Sends a signal, named as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([name, &id]).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("can run kill").success());
     }
 
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("ended");
+        self.child.kill().expect("can kill the daemon");
+        self.child.wait().expect("can wait for the daemon");
     }
 
+    /// Waits for the process to end.
     pub fn wait(&mut self) -> std::process::ExitStatus {
-        wait_for("the daemon ends", || self.child.try_wait().expect("waits"))
+        wait_for("the daemon ends", || {
+            self.child.try_wait().expect("can wait for the daemon")
+        })
     }
 
+    /// The log so far; empty if there is none.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
+    /// The fleet's status by the operator API, or `None` if the response can't be parsed.
     pub fn status(&self) -> Option<FleetStatus> {
         let answer = self.operate("GET", "/v1/status", "");
         serde_json::from_str(&answer.body).ok()
     }
 
+    /// Number of replicas that are in routing at this daemon.
     pub fn eligible(&self) -> usize {
         let status = self.status();
         let models = status.map(|status| status.models).unwrap_or_default();
         models.iter().map(|model| model.eligible_here).sum()
     }
 
+    /// Sends a request to the operator API.
     pub fn operate(&self, method: &str, path: &str, body: &str) -> Answer {
         let bearer = format!("Bearer {TOKEN}");
         let headers = [("Authorization", bearer.as_str())];
         exchange(self.operators, method, path, &headers, body)
     }
 
+    /// Plans a change and confirms the plan under the given operation id. Returns the answer to
+    /// the confirmation, or the answer to the plan if that was rejected.
     pub fn change(&self, change: &Change, operation: u64) -> OperatorAnswer {
-        let body = serde_json::to_string(change).expect("JSON");
+        let body = serde_json::to_string(change).expect("valid JSON");
         let answer = self.operate("POST", "/v1/plan", &body);
-        let planned: OperatorAnswer = serde_json::from_str(&answer.body).expect("an answer");
+        let planned: OperatorAnswer =
+            serde_json::from_str(&answer.body).expect("an operator answer");
         let OperatorAnswer::Planned(plan) = planned else {
             return planned;
         };
@@ -180,9 +212,9 @@
             digest: plan.digest,
             operation: OperationId(operation),
         };
-        let body = serde_json::to_string(&confirm).expect("JSON");
+        let body = serde_json::to_string(&confirm).expect("valid JSON");
         let answer = self.operate("POST", "/v1/confirm", &body);
-        serde_json::from_str(&answer.body).expect("an answer")
+        serde_json::from_str(&answer.body).expect("an operator answer")
     }
 }
 
@@ -193,19 +225,23 @@
     }
 }
 
-/// Stand-ins in this process, and a folder for files.
+/// Stand-ins in the test process, and a directory for settings and logs of daemons.
 pub struct Fleet {
+    /// Address of the stand-in platform.
     pub platform: SocketAddr,
+    /// The stand-in engines, one per host.
     pub engines: Vec<RunningEngine>,
+    /// Address of the stand-in for a plain service.
     pub service: SocketAddr,
     folder: PathBuf,
     next_daemon: u32,
 }
 
 impl Fleet {
-    /// A failure domain of so many hosts, without daemons yet.
+    /// Starts a failure domain with the given number of hosts and no daemons. `name` distinguishes
+    /// the directories of the tests.
     pub fn new(name: &str, hosts: u32) -> Self {
-        let (platform, _) = standin::platform::spawn(any_port()).expect("a platform");
+        let (platform, _) = standin::platform::spawn(any_port()).expect("can start the platform");
         let engines = spawn_engines(&EngineArguments {
             host: "h".into(),
             listen: any_port(),
@@ -224,19 +260,19 @@
             listen: any_port(),
             delay_ms: 1,
         };
-        let (service, _) = standin::service::spawn(&service).expect("a service");
+        let (service, _) = standin::service::spawn(&service).expect("can start the service");
         let folder = std::env::temp_dir().join(format!("shalehinge-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("can create the directory");
         Self {
             platform,
-            engines: engines.expect("engines"),
+            engines: engines.expect("can start the engines"),
             service,
             folder,
             next_daemon: 0,
         }
     }
 
-    /// Starts a daemon that asks these peers first.
+    /// Starts a daemon with the given peers as seeds and waits until it listens.
     pub fn daemon(&mut self, seeds: &[SocketAddr]) -> DaemonProcess {
         let number = self.next_daemon;
         self.next_daemon += 1;
@@ -253,13 +289,13 @@
             log.display()
         );
         let path = self.folder.join(format!("entry-{number}.ini"));
-        std::fs::write(&path, settings).expect("settings written");
+        std::fs::write(&path, settings).expect("can write the settings");
         let child = Command::new(env!("CARGO_BIN_EXE_shalehinged"))
             .arg(&path)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the daemon starts");
+            .expect("can start the daemon");
         let addresses = wait_for("the daemon listens", || listens_on(&log));
         let [callers, operators, peers] = addresses;
         DaemonProcess {
@@ -271,7 +307,8 @@
         }
     }
 
-    /// A daemon, a customer, a plain service, and one replica of two hosts.
+    /// Starts a daemon, configures a customer, a plain service and one replica of two hosts, and
+    /// waits until the replica is in routing.
     pub fn serving(&mut self) -> DaemonProcess {
         let daemon = self.daemon(&[]);
         wait_for("the daemon answers operators", || daemon.status());
@@ -326,46 +363,51 @@
         );
     }
 
+    /// Sets the fault of the platform.
     pub fn platform_fault(&self, fault: Fault) {
-        let body = serde_json::to_string(&fault).expect("JSON");
+        let body = serde_json::to_string(&fault).expect("valid JSON");
         let answer = exchange(self.platform, "PUT", "/admin/fault", &[], &body);
         assert_eq!(answer.status, 204);
     }
 
-    /// The platform copies all that it keeps, or is restored from its copy.
+    /// Calls an admin operation of the platform: `copy` takes a backup, `restore` restores it.
     fn platform_admin(&self, what: &str) {
         let path = format!("/admin/{what}");
         let answer = exchange(self.platform, "PUT", &path, &[], "");
         assert_eq!(answer.status, 204);
     }
 
+    /// Takes a backup of the platform's store.
     pub fn copy_platform(&self) {
         self.platform_admin("copy");
     }
 
-    /// What the platform took since its copy is lost, and versions are given out anew.
+    /// Restores the platform's store from its backup. Writes since the backup are lost, and their
+    /// versions are assigned again.
     pub fn restore_platform(&self) {
         self.platform_admin("restore");
     }
 
+    /// Sets the fault of all engines.
     pub fn engine_fault(&self, fault: EngineFault) {
-        let body = serde_json::to_string(&fault).expect("JSON");
+        let body = serde_json::to_string(&fault).expect("valid JSON");
         for engine in &self.engines {
             let answer = exchange(engine.address, "PUT", "/admin/fault", &[], &body);
             assert_eq!(answer.status, 204);
         }
     }
 
+    /// Sets the fault of the plain service.
     pub fn service_fault(&self, fault: &ServiceFault) {
-        let body = serde_json::to_string(fault).expect("JSON");
+        let body = serde_json::to_string(fault).expect("valid JSON");
         let answer = exchange(self.service, "PUT", "/admin/fault", &[], &body);
         assert_eq!(answer.status, 204);
     }
 
-    /// How often the plain service was called with a key.
+    /// Number of calls that the plain service received with a key.
     pub fn service_calls(&self, key: &str) -> u64 {
         let answer = exchange(self.service, "GET", "/admin/calls", &[], "");
-        let calls: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
+        let calls: serde_json::Value = serde_json::from_str(&answer.body).expect("valid JSON");
         calls[key].as_u64().unwrap_or(0)
     }
 }
@@ -376,6 +418,7 @@
     }
 }
 
+/// Reads the addresses for callers, operators and peers from the log, once the daemon listens.
 fn listens_on(log: &PathBuf) -> Option<[SocketAddr; 3]> {
     let text = std::fs::read_to_string(log).ok()?;
     let line = text
--- a/shalehinge/tests/restored_platform_processes.rs
+++ b/shalehinge/tests/restored_platform_processes.rs
@@ -1,4 +1,4 @@
-//! Daemons before a platform of the product's own interface that is restored from a copy.
+//! Daemons whose platform is restored from a backup, by the HTTP interface of this project.
 
 mod process_support;
 
@@ -9,11 +9,12 @@
 use shalehinge::core::operator::OperatorAnswer;
 use shalehinge::core::types::{Customer, ModelName};
 
-/// Changes that the copy lacks.
+/// Number of changes that the backup lacks.
 const LOST_CHANGES: u64 = 5;
-/// Callers come for so long, or longer where the machine is busy.
+/// Minimum duration of the load; it takes longer on a busy machine.
 const LASTS: Duration = Duration::from_secs(8);
 
+/// A change of the share of the customer `c`.
 fn share(share: u32) -> Change {
     let customer = Customer::new("c");
     Change::Share { customer, share }
@@ -23,7 +24,7 @@
     matches!(answer, OperatorAnswer::Confirmed { .. })
 }
 
-/// Changes that the platform takes and then loses.
+/// Confirms changes after a backup and restores the backup, so that the platform loses them.
 fn lose_changes(fleet: &Fleet, daemon: &DaemonProcess) {
     fleet.copy_platform();
     for number in 0..LOST_CHANGES {
@@ -46,7 +47,7 @@
         operation += 1;
         is_confirmed(&daemon.change(&remove, operation)).then_some(())
     });
-    wait_for("the model is served no longer", || {
+    wait_for("the model is no longer served", || {
         let status = daemon.status()?;
         status.models.is_empty().then_some(())
     });
@@ -65,6 +66,7 @@
     assert_eq!(text.matches("retire group").count(), 0, "{text}");
 }
 
+/// Sends a notice, a call that must not run twice, under an idempotency key; returns the status.
 fn notice(daemon: &DaemonProcess, key: &str) -> u16 {
     let bearer = format!("Bearer {KEY}");
     let headers = [("Authorization", bearer.as_str()), ("Idempotency-Key", key)];
@@ -76,7 +78,7 @@
     let mut fleet = Fleet::new("restored-claims", 3);
     let first = fleet.serving();
     let second = fleet.daemon(&[first.peers]);
-    wait_for("the second serves", || {
+    wait_for("the second daemon serves", || {
         (second.eligible() == 1).then_some(())
     });
     fleet.copy_platform();
