--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -398,7 +398,7 @@
         "shalehinge/src/utils/http.rs",
         'drop(conn.with_request_header(KnownHeaderName::Connection, "close"));',
         "drop(conn);",
-        "http_client", "not_read_on",
+        "http_client", "not_read_to_its_end",
     ),
     "out-of-date-is-not-served": (
         CORE + "daemon/mod.rs",
--- a/shalehinge/tests/http_client.rs
+++ b/shalehinge/tests/http_client.rs
@@ -8,8 +8,8 @@
 use shalehinge::utils::http::{exchange, pooled_client, url};
 
 /// Larger than one chunk, but small enough that a client would accept the whole response.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-const PIECE: usize = 64 * 1024;
+const RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 fn read_request(stream: &mut TcpStream) {
     let mut head = Vec::new();
@@ -22,19 +22,19 @@
 
 /// Sends the first chunk of a long response. After the client has abandoned the response, sends
 /// the rest until the connection fails. Returns the number of bytes sent.
-fn answer_at_length(listener: &TcpListener, given_up: &Receiver<()>) -> usize {
+fn send_long_response(listener: &TcpListener, abandoned: &Receiver<()>) -> usize {
     let (mut stream, _) = listener.accept().expect("can accept a connection");
     read_request(&mut stream);
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {ANSWER_BYTES}\r\n\r\n");
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {RESPONSE_BYTES}\r\n\r\n");
     stream
         .write_all(head.as_bytes())
         .expect("can send the head");
-    let piece = [b'x'; PIECE];
-    stream.write_all(&piece).expect("can send the first chunk");
-    given_up.recv().expect("the client abandons the response");
-    let mut sent = PIECE;
-    while sent < ANSWER_BYTES && stream.write_all(&piece).is_ok() {
-        sent += PIECE;
+    let chunk = [b'x'; CHUNK_BYTES];
+    stream.write_all(&chunk).expect("can send the first chunk");
+    abandoned.recv().expect("the client abandons the response");
+    let mut sent = CHUNK_BYTES;
+    while sent < RESPONSE_BYTES && stream.write_all(&chunk).is_ok() {
+        sent += CHUNK_BYTES;
         // Gives a closed connection time to be detected.
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -45,27 +45,27 @@
 /// keep filling its link: the HTTP library would read each to its end in order to reuse the
 /// connection.
 #[test]
-fn an_answer_that_is_given_up_is_not_read_on() {
+fn an_abandoned_response_is_not_read_to_its_end() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
     let address = listener.local_addr().expect("has a local address");
-    let (give_up, given_up) = mpsc::channel();
-    let server = std::thread::spawn(move || answer_at_length(&listener, &given_up));
+    let (abandon, abandoned) = mpsc::channel();
+    let server = std::thread::spawn(move || send_long_response(&listener, &abandoned));
     let client = pooled_client();
-    let answer = smol::block_on(exchange(
+    let response = smol::block_on(exchange(
         client.get(url(address, "/long")),
         Duration::from_millis(100),
     ));
-    assert_eq!(answer, None);
-    give_up.send(()).expect("the server is waiting");
+    assert_eq!(response, None);
+    abandon.send(()).expect("the server is waiting");
     let sent = server.join().expect("the server thread succeeds");
     assert!(
-        sent < ANSWER_BYTES,
+        sent < RESPONSE_BYTES,
         "the client read the whole abandoned response"
     );
 }
 
 /// Answers up to `requests` requests on one connection; returns how many arrived on it.
-fn answer_on_one_connection(listener: &TcpListener, requests: usize) -> usize {
+fn serve_one_connection(listener: &TcpListener, requests: usize) -> usize {
     let (mut stream, _) = listener.accept().expect("can accept a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -89,11 +89,11 @@
 }
 
 #[test]
-fn a_connection_whose_answer_was_read_whole_is_used_again() {
+fn a_connection_is_reused_after_a_complete_response() {
     const REQUESTS: usize = 3;
     let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
     let address = listener.local_addr().expect("has a local address");
-    let server = std::thread::spawn(move || answer_on_one_connection(&listener, REQUESTS));
+    let server = std::thread::spawn(move || serve_one_connection(&listener, REQUESTS));
     let client = pooled_client();
     for _ in 0..REQUESTS {
         let call = exchange(client.get(url(address, "/short")), Duration::from_secs(2));
--- a/shalehinge/tests/peer_traffic.rs
+++ b/shalehinge/tests/peer_traffic.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn small_answers_are_not_worth_a_line() {
+fn small_replies_are_not_logged() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
     traffic.record_sent(PullTopic::All, &metrics);
     traffic.record_end(PullTopic::All, Some(4_000), &metrics);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_full_link_is_told_apart_from_a_late_process() {
+fn a_saturated_link_is_distinguished_from_a_slow_process() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
     for _ in 0..3 {
         traffic.record_sent(PullTopic::All, &metrics);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_is_open_stays_open_and_the_rest_begins_anew() {
+fn open_pulls_are_carried_over_and_other_counts_reset() {
     let (traffic, metrics) = (PeerTraffic::default(), Metrics::new(None));
     traffic.record_sent(PullTopic::Objects, &metrics);
     traffic.record_sent(PullTopic::Objects, &metrics);
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -26,13 +26,13 @@
 use standin::service::{ServiceArguments, ServiceFault};
 
 /// The operators' token.
-const TOKEN: &str = "token";
+const OPERATOR_TOKEN: &str = "token";
 /// API key of the customer `c` in the test configuration.
-pub const KEY: &str = "key";
+pub const API_KEY: &str = "key";
 /// Time-out of each wait and read. It is generous, as the machine may be busy.
-const BOUND: Duration = Duration::from_secs(120);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-fn any_port() -> SocketAddr {
+fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -45,21 +45,24 @@
 ///
 /// # Panics
 ///
-/// Panics with `what` if the condition returns no value within the time-out.
-pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + BOUND;
+/// Panics with `condition_name` if the condition returns no value within the time-out.
+pub fn wait_for<T>(condition_name: &str, mut condition: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < end, "timed out waiting until {what}");
+        assert!(
+            Instant::now() < end,
+            "timed out waiting until {condition_name}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// An HTTP/1.1 response, read until the connection is closed.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status; 0 if the status line can't be parsed.
     pub status: u16,
     /// Status line and headers.
@@ -68,7 +71,7 @@
     pub body: String,
 }
 
-impl Answer {
+impl Response {
     /// Value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
@@ -79,18 +82,18 @@
 }
 
 /// Sends raw bytes and reads the response.
-pub fn send_raw(to: SocketAddr, bytes: &[u8]) -> Answer {
+pub fn send_raw_request(to: SocketAddr, bytes: &[u8]) -> Response {
     let mut stream = TcpStream::connect(to).expect("can connect");
     stream
-        .set_read_timeout(Some(BOUND))
+        .set_read_timeout(Some(WAIT_TIMEOUT))
         .expect("can set a read time-out");
     stream.write_all(bytes).expect("can send the request");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    let text = String::from_utf8_lossy(&answer).into_owned();
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let text = String::from_utf8_lossy(&response).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let status = head.split(' ').nth(1).and_then(|text| text.parse().ok());
-    Answer {
+    Response {
         status: status.unwrap_or(0),
         head: head.to_owned(),
         body: body.to_owned(),
@@ -98,13 +101,13 @@
 }
 
 /// Sends a request and reads the response.
-pub fn exchange(
+pub fn send_request(
     to: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
+) -> Response {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nHost: test\r\nConnection: close\r\nContent-Length: {}\r\n",
         body.len()
@@ -114,11 +117,11 @@
     }
     request.push_str("\r\n");
     request.push_str(body);
-    send_raw(to, request.as_bytes())
+    send_raw_request(to, request.as_bytes())
 }
 
 /// Body of a chat completion request for the model `m`.
-pub fn chat_body(max_tokens: u32, stream: bool) -> String {
+pub fn chat_request_body(max_tokens: u32, stream: bool) -> String {
     format!(
         r#"{{"model": "m", "max_tokens": {max_tokens}, "stream": {stream}, "messages": [{{"role": "user", "content": "dial"}}]}}"#
     )
@@ -126,14 +129,14 @@
 
 /// Sends a chat request and retries while no replica is available: on a busy machine a status
 /// report may be late, which takes the replica out of routing until the next one.
-pub fn chat(to: SocketAddr, headers: &[(&str, &str)], body: &str) -> Answer {
-    let bearer = format!("Bearer {KEY}");
-    let mut all = vec![("Authorization", bearer.as_str())];
+pub fn send_chat(to: SocketAddr, headers: &[(&str, &str)], body: &str) -> Response {
+    let authorization = format!("Bearer {API_KEY}");
+    let mut all = vec![("Authorization", authorization.as_str())];
     all.extend_from_slice(headers);
     wait_for("a replica is in routing", || {
-        let answer = exchange(to, "POST", "/v1/chat/completions", &all, body);
-        let is_for_later = answer.status == 503 && answer.body.contains("no_upstream");
-        (!is_for_later).then_some(answer)
+        let response = send_request(to, "POST", "/v1/chat/completions", &all, body);
+        let is_retryable = response.status == 503 && response.body.contains("no_upstream");
+        (!is_retryable).then_some(response)
     })
 }
 
@@ -147,12 +150,12 @@
     /// Address of the listener for peers.
     pub peers: SocketAddr,
     /// Path of the log file.
-    pub log: PathBuf,
+    pub log_path: PathBuf,
 }
 
 impl DaemonProcess {
     /// Sends a signal, named as an option of `kill`, such as `-TERM`.
-    pub fn signal(&self, name: &str) {
+    pub fn send_signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([name, &id]).status();
         assert!(status.expect("can run kill").success());
@@ -173,36 +176,36 @@
 
     /// The log so far; empty if there is none.
     pub fn log_text(&self) -> String {
-        std::fs::read_to_string(&self.log).unwrap_or_default()
+        std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
     /// The fleet's status by the operator API, or `None` if the response can't be parsed.
     pub fn status(&self) -> Option<FleetStatus> {
-        let answer = self.operate("GET", "/v1/status", "");
-        serde_json::from_str(&answer.body).ok()
+        let response = self.send_operator_request("GET", "/v1/status", "");
+        serde_json::from_str(&response.body).ok()
     }
 
     /// Number of replicas that are in routing at this daemon.
-    pub fn eligible(&self) -> usize {
+    pub fn eligible_replicas(&self) -> usize {
         let status = self.status();
         let models = status.map(|status| status.models).unwrap_or_default();
         models.iter().map(|model| model.eligible_here).sum()
     }
 
     /// Sends a request to the operator API.
-    pub fn operate(&self, method: &str, path: &str, body: &str) -> Answer {
-        let bearer = format!("Bearer {TOKEN}");
-        let headers = [("Authorization", bearer.as_str())];
-        exchange(self.operators, method, path, &headers, body)
+    pub fn send_operator_request(&self, method: &str, path: &str, body: &str) -> Response {
+        let authorization = format!("Bearer {OPERATOR_TOKEN}");
+        let headers = [("Authorization", authorization.as_str())];
+        send_request(self.operators, method, path, &headers, body)
     }
 
     /// Plans a change and confirms the plan under the given operation id. Returns the answer to
     /// the confirmation, or the answer to the plan if that was rejected.
-    pub fn change(&self, change: &Change, operation: u64) -> OperatorAnswer {
+    pub fn apply_change(&self, change: &Change, operation: u64) -> OperatorAnswer {
         let body = serde_json::to_string(change).expect("valid JSON");
-        let answer = self.operate("POST", "/v1/plan", &body);
+        let response = self.send_operator_request("POST", "/v1/plan", &body);
         let planned: OperatorAnswer =
-            serde_json::from_str(&answer.body).expect("an operator answer");
+            serde_json::from_str(&response.body).expect("an operator answer");
         let OperatorAnswer::Planned(plan) = planned else {
             return planned;
         };
@@ -213,8 +216,8 @@
             operation: OperationId(operation),
         };
         let body = serde_json::to_string(&confirm).expect("valid JSON");
-        let answer = self.operate("POST", "/v1/confirm", &body);
-        serde_json::from_str(&answer.body).expect("an operator answer")
+        let response = self.send_operator_request("POST", "/v1/confirm", &body);
+        serde_json::from_str(&response.body).expect("an operator answer")
     }
 }
 
@@ -233,7 +236,7 @@
     pub engines: Vec<RunningEngine>,
     /// Address of the stand-in for a plain service.
     pub service: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     next_daemon: u32,
 }
 
@@ -241,10 +244,11 @@
     /// Starts a failure domain with the given number of hosts and no daemons. `name` distinguishes
     /// the directories of the tests.
     pub fn new(name: &str, hosts: u32) -> Self {
-        let (platform, _) = standin::platform::spawn(any_port()).expect("can start the platform");
+        let (platform, _) =
+            standin::platform::spawn(loopback_any_port()).expect("can start the platform");
         let engines = spawn_engines(&EngineArguments {
             host: "h".into(),
-            listen: any_port(),
+            listen: loopback_any_port(),
             failure_domain: "d".into(),
             fabric_domain: "f".into(),
             accelerators: 8,
@@ -257,27 +261,28 @@
             sequence_us: 400,
         });
         let service = ServiceArguments {
-            listen: any_port(),
+            listen: loopback_any_port(),
             delay_ms: 1,
         };
         let (service, _) = standin::service::spawn(&service).expect("can start the service");
-        let folder = std::env::temp_dir().join(format!("shalehinge-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("can create the directory");
+        let directory =
+            std::env::temp_dir().join(format!("shalehinge-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("can create the directory");
         Self {
             platform,
             engines: engines.expect("can start the engines"),
             service,
-            folder,
+            directory,
             next_daemon: 0,
         }
     }
 
     /// Starts a daemon with the given peers as seeds and waits until it listens.
-    pub fn daemon(&mut self, seeds: &[SocketAddr]) -> DaemonProcess {
+    pub fn start_daemon(&mut self, seeds: &[SocketAddr]) -> DaemonProcess {
         let number = self.next_daemon;
         self.next_daemon += 1;
         let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
-        let log = self.folder.join(format!("entry-{number}.log"));
+        let log = self.directory.join(format!("entry-{number}.log"));
         let settings = format!(
             "[daemon]\nname = entry-{number}\nfailure_domain = d\nseeds = {}\n\
              [listen]\ncallers = 127.0.0.1:0\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n\
@@ -285,10 +290,10 @@
              [limits]\nmax_body_bytes = 20000\nbody_timeout = 1s\n[log]\nfile = {}\n",
             seeds.join(", "),
             self.platform,
-            sha256(TOKEN),
+            sha256(OPERATOR_TOKEN),
             log.display()
         );
-        let path = self.folder.join(format!("entry-{number}.ini"));
+        let path = self.directory.join(format!("entry-{number}.ini"));
         std::fs::write(&path, settings).expect("can write the settings");
         let child = Command::new(env!("CARGO_BIN_EXE_shalehinged"))
             .arg(&path)
@@ -296,25 +301,25 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("can start the daemon");
-        let addresses = wait_for("the daemon listens", || listens_on(&log));
+        let addresses = wait_for("the daemon listens", || listen_addresses(&log));
         let [callers, operators, peers] = addresses;
         DaemonProcess {
             child,
             callers,
             operators,
             peers,
-            log,
+            log_path: log,
         }
     }
 
     /// Starts a daemon, configures a customer, a plain service and one replica of two hosts, and
     /// waits until the replica is in routing.
-    pub fn serving(&mut self) -> DaemonProcess {
-        let daemon = self.daemon(&[]);
+    pub fn start_serving_daemon(&mut self) -> DaemonProcess {
+        let daemon = self.start_daemon(&[]);
         wait_for("the daemon answers operators", || daemon.status());
         self.configure(&daemon);
         wait_for("the replica is in routing", || {
-            (daemon.eligible() == 1).then_some(())
+            (daemon.eligible_replicas() == 1).then_some(())
         });
         daemon
     }
@@ -322,7 +327,7 @@
     fn configure(&self, daemon: &DaemonProcess) {
         let mut configuration = Configuration::default();
         let customer = CustomerConfig {
-            key_sha256: vec![sha256(KEY)],
+            key_sha256: vec![sha256(API_KEY)],
             share: 1,
             rank: None,
         };
@@ -344,10 +349,10 @@
             .services
             .insert(ServiceName::new("rutas-app"), service);
         let configure = Change::Configure(Box::new(configuration));
-        let answer = daemon.change(&configure, 1);
+        let response = daemon.apply_change(&configure, 1);
         assert!(
-            matches!(answer, OperatorAnswer::Confirmed { .. }),
-            "{answer:?}"
+            matches!(response, OperatorAnswer::Confirmed { .. }),
+            "{response:?}"
         );
         let intent = Change::Intent {
             model: ModelName::new("m"),
@@ -356,29 +361,29 @@
             hosts_per_replica: 2,
             owner: Customer::new("c"),
         };
-        let answer = daemon.change(&intent, 2);
+        let response = daemon.apply_change(&intent, 2);
         assert!(
-            matches!(answer, OperatorAnswer::Confirmed { .. }),
-            "{answer:?}"
+            matches!(response, OperatorAnswer::Confirmed { .. }),
+            "{response:?}"
         );
     }
 
     /// Sets the fault of the platform.
-    pub fn platform_fault(&self, fault: Fault) {
+    pub fn set_platform_fault(&self, fault: Fault) {
         let body = serde_json::to_string(&fault).expect("valid JSON");
-        let answer = exchange(self.platform, "PUT", "/admin/fault", &[], &body);
-        assert_eq!(answer.status, 204);
+        let response = send_request(self.platform, "PUT", "/admin/fault", &[], &body);
+        assert_eq!(response.status, 204);
     }
 
     /// Calls an admin operation of the platform: `copy` takes a backup, `restore` restores it.
-    fn platform_admin(&self, what: &str) {
-        let path = format!("/admin/{what}");
-        let answer = exchange(self.platform, "PUT", &path, &[], "");
-        assert_eq!(answer.status, 204);
+    fn platform_admin(&self, operation: &str) {
+        let path = format!("/admin/{operation}");
+        let response = send_request(self.platform, "PUT", &path, &[], "");
+        assert_eq!(response.status, 204);
     }
 
     /// Takes a backup of the platform's store.
-    pub fn copy_platform(&self) {
+    pub fn back_up_platform(&self) {
         self.platform_admin("copy");
     }
 
@@ -389,37 +394,37 @@
     }
 
     /// Sets the fault of all engines.
-    pub fn engine_fault(&self, fault: EngineFault) {
+    pub fn set_engine_fault(&self, fault: EngineFault) {
         let body = serde_json::to_string(&fault).expect("valid JSON");
         for engine in &self.engines {
-            let answer = exchange(engine.address, "PUT", "/admin/fault", &[], &body);
-            assert_eq!(answer.status, 204);
+            let response = send_request(engine.address, "PUT", "/admin/fault", &[], &body);
+            assert_eq!(response.status, 204);
         }
     }
 
     /// Sets the fault of the plain service.
-    pub fn service_fault(&self, fault: &ServiceFault) {
+    pub fn set_service_fault(&self, fault: &ServiceFault) {
         let body = serde_json::to_string(fault).expect("valid JSON");
-        let answer = exchange(self.service, "PUT", "/admin/fault", &[], &body);
-        assert_eq!(answer.status, 204);
+        let response = send_request(self.service, "PUT", "/admin/fault", &[], &body);
+        assert_eq!(response.status, 204);
     }
 
     /// Number of calls that the plain service received with a key.
     pub fn service_calls(&self, key: &str) -> u64 {
-        let answer = exchange(self.service, "GET", "/admin/calls", &[], "");
-        let calls: serde_json::Value = serde_json::from_str(&answer.body).expect("valid JSON");
+        let response = send_request(self.service, "GET", "/admin/calls", &[], "");
+        let calls: serde_json::Value = serde_json::from_str(&response.body).expect("valid JSON");
         calls[key].as_u64().unwrap_or(0)
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
 /// Reads the addresses for callers, operators and peers from the log, once the daemon listens.
-fn listens_on(log: &PathBuf) -> Option<[SocketAddr; 3]> {
+fn listen_addresses(log: &PathBuf) -> Option<[SocketAddr; 3]> {
     let text = std::fs::read_to_string(log).ok()?;
     let line = text
         .lines()
--- a/shalehinge/tests/restored_platform_processes.rs
+++ b/shalehinge/tests/restored_platform_processes.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use process_support::{DaemonProcess, Fleet, KEY, chat, chat_body, exchange, wait_for};
+use process_support::{
+    API_KEY, DaemonProcess, Fleet, chat_request_body, send_chat, send_request, wait_for,
+};
 use shalehinge::core::change::Change;
 use shalehinge::core::operator::OperatorAnswer;
 use shalehinge::core::types::{Customer, ModelName};
@@ -12,24 +14,24 @@
 /// Number of changes that the backup lacks.
 const LOST_CHANGES: u64 = 5;
 /// Minimum duration of the load; it takes longer on a busy machine.
-const LASTS: Duration = Duration::from_secs(8);
+const LOAD_DURATION: Duration = Duration::from_secs(8);
 
 /// A change of the share of the customer `c`.
-fn share(share: u32) -> Change {
+fn share_change(share: u32) -> Change {
     let customer = Customer::new("c");
     Change::Share { customer, share }
 }
 
-fn is_confirmed(answer: &OperatorAnswer) -> bool {
-    matches!(answer, OperatorAnswer::Confirmed { .. })
+fn is_confirmed(response: &OperatorAnswer) -> bool {
+    matches!(response, OperatorAnswer::Confirmed { .. })
 }
 
 /// Confirms changes after a backup and restores the backup, so that the platform loses them.
 fn lose_changes(fleet: &Fleet, daemon: &DaemonProcess) {
-    fleet.copy_platform();
+    fleet.back_up_platform();
     for number in 0..LOST_CHANGES {
-        let answer = daemon.change(&share(number as u32 + 2), 10 + number);
-        assert!(is_confirmed(&answer), "{answer:?}");
+        let response = daemon.apply_change(&share_change(number as u32 + 2), 10 + number);
+        assert!(is_confirmed(&response), "{response:?}");
     }
     fleet.restore_platform();
 }
@@ -37,7 +39,7 @@
 #[test]
 fn operators_can_change_the_configuration_after_the_platform_lost_changes() {
     let mut fleet = Fleet::new("restored", 3);
-    let daemon = fleet.serving();
+    let daemon = fleet.start_serving_daemon();
     lose_changes(&fleet, &daemon);
     let remove = Change::Remove {
         model: ModelName::new("m"),
@@ -45,7 +47,7 @@
     let mut operation = 100;
     wait_for("the change is confirmed", || {
         operation += 1;
-        is_confirmed(&daemon.change(&remove, operation)).then_some(())
+        is_confirmed(&daemon.apply_change(&remove, operation)).then_some(())
     });
     wait_for("the model is no longer served", || {
         let status = daemon.status()?;
@@ -54,45 +56,51 @@
 }
 
 #[test]
-fn a_replica_goes_on_serving_while_the_platform_comes_back_from_a_copy() {
+fn a_replica_keeps_serving_while_the_platform_is_restored_from_a_backup() {
     let mut fleet = Fleet::new("restored-replica", 3);
-    let daemon = fleet.serving();
+    let daemon = fleet.start_serving_daemon();
     lose_changes(&fleet, &daemon);
-    let end = Instant::now() + LASTS;
+    let end = Instant::now() + LOAD_DURATION;
     while Instant::now() < end {
-        assert_eq!(chat(daemon.callers, &[], &chat_body(4, false)).status, 200);
+        assert_eq!(
+            send_chat(daemon.callers, &[], &chat_request_body(4, false)).status,
+            200
+        );
     }
     let text = daemon.log_text();
     assert_eq!(text.matches("retire group").count(), 0, "{text}");
 }
 
 /// Sends a notice, a call that must not run twice, under an idempotency key; returns the status.
-fn notice(daemon: &DaemonProcess, key: &str) -> u16 {
-    let bearer = format!("Bearer {KEY}");
-    let headers = [("Authorization", bearer.as_str()), ("Idempotency-Key", key)];
-    exchange(daemon.callers, "POST", "/rutas/avisos", &headers, "aviso").status
+fn send_notice(daemon: &DaemonProcess, key: &str) -> u16 {
+    let authorization = format!("Bearer {API_KEY}");
+    let headers = [
+        ("Authorization", authorization.as_str()),
+        ("Idempotency-Key", key),
+    ];
+    send_request(daemon.callers, "POST", "/rutas/avisos", &headers, "aviso").status
 }
 
 #[test]
-fn a_key_whose_claim_the_copy_lacks_does_not_run_again() {
+fn a_key_whose_claim_the_backup_lacks_does_not_run_again() {
     let mut fleet = Fleet::new("restored-claims", 3);
-    let first = fleet.serving();
-    let second = fleet.daemon(&[first.peers]);
+    let first = fleet.start_serving_daemon();
+    let second = fleet.start_daemon(&[first.peers]);
     wait_for("the second daemon serves", || {
-        (second.eligible() == 1).then_some(())
+        (second.eligible_replicas() == 1).then_some(())
     });
-    fleet.copy_platform();
+    fleet.back_up_platform();
     wait_for("the notice runs", || {
-        (notice(&first, "aviso-1") == 200).then_some(())
+        (send_notice(&first, "aviso-1") == 200).then_some(())
     });
     fleet.restore_platform();
-    let end = Instant::now() + LASTS;
+    let end = Instant::now() + LOAD_DURATION;
     while Instant::now() < end {
-        notice(&second, "aviso-1");
-        notice(&first, "aviso-1");
+        send_notice(&second, "aviso-1");
+        send_notice(&first, "aviso-1");
     }
     assert_eq!(fleet.service_calls("aviso-1"), 1);
     wait_for("other keys run", || {
-        (notice(&second, "aviso-2") == 200).then_some(())
+        (send_notice(&second, "aviso-2") == 200).then_some(())
     });
 }
