--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -398,7 +398,7 @@
         "shalehinge/src/utils/http.rs",
         'drop(conn.with_request_header(KnownHeaderName::Connection, "close"));',
         "drop(conn);",
-        "http_client", "not_read_on",
+        "http_client", "not_read_to_its_end",
     ),
     "out-of-date-is-not-served": (
         CORE + "daemon/mod.rs",
@@ -748,13 +748,13 @@
     ),
     "request-id": (
         "shalehinge/src/upstream/relay.rs",
-        "if is_other || headers", "if headers",
+        "if is_for_other_request || headers", "if headers",
         "relay", "wrong_answers",
     ),
     "promise": (
         "shalehinge/src/upstream/relay.rs",
-        "PROMISES.contains(&status).then_some(AttemptEnd::Lost)",
-        "PROMISES.contains(&status).then_some(AttemptEnd::Refused)",
+        "NOT_RUN_STATUSES\n        .contains(&status)\n        .then_some(AttemptEnd::Lost)",
+        "NOT_RUN_STATUSES\n        .contains(&status)\n        .then_some(AttemptEnd::Refused)",
         "relay", "wrong_answers",
     ),
     "key-stays": (
@@ -763,7 +763,7 @@
     ),
     "no-expect": (
         "shalehinge/src/utils/http.rs",
-        ".with_max_buffered_request_body(NEVER_ASK_FIRST)", "",
+        ".with_max_buffered_request_body(NEVER_EXPECT_CONTINUE)", "",
         "relay", "goes_through_unchanged",
     ),
     "ready-first": (
--- a/shalehinge/src/gateway/models.rs
+++ b/shalehinge/src/gateway/models.rs
@@ -1,9 +1,9 @@
-//! `GET /v1/models`.
+//! `GET /v1/models`: the list of models.
 
 use serde::Serialize;
 use trillium::{Conn, KnownHeaderName};
 
-use super::{GatewayContext, access};
+use super::{GatewayContext, auth};
 
 #[derive(Serialize)]
 struct ModelList {
@@ -18,9 +18,9 @@
     owned_by: String,
 }
 
-/// Lists the models of the configuration in force.
+/// Lists the models of the configuration in force, with the customer that owns each.
 pub async fn handle(context: GatewayContext, conn: Conn) -> Conn {
-    if let Err(error) = access::customer(&context, &conn) {
+    if let Err(error) = auth::customer(&context, &conn) {
         return error.write(conn);
     }
     let data = context.driver.read(|_, core| {
--- a/shalehinge/src/object_api/http.rs
+++ b/shalehinge/src/object_api/http.rs
@@ -14,7 +14,7 @@
 use crate::core::objects::{Object, ObjectKey, Versioned};
 use crate::core::platform::{NoAnswer, PlatformCall, PlatformReply, PlatformResult, Scope};
 use crate::core::types::{FailureDomain, StoreEra, Version};
-use crate::utils::http::{AnswerLimits, pooled_client, url};
+use crate::utils::http::{ResponseTimeouts, pooled_client, url};
 
 /// Response header that carries the store era. Without it, the era counts as unreported.
 pub const ERA_HEADER: &str = "x-shalehinge-era";
@@ -123,7 +123,7 @@
     /// object, so that it can be overwritten, and as no answer otherwise.
     async fn get(&self, key: ObjectKey) -> PlatformResult {
         let conn = self.client.get(self.object_url(&key));
-        let limits = AnswerLimits::in_all(self.timeout);
+        let limits = ResponseTimeouts::uniform(self.timeout);
         let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
@@ -150,7 +150,7 @@
         }
         let body = encode(&object).map_err(|_| NoAnswer)?;
         let conn = self.client.put(url).with_body(body);
-        let limits = AnswerLimits::in_all(self.timeout);
+        let limits = ResponseTimeouts::uniform(self.timeout);
         let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
@@ -164,7 +164,7 @@
 
     async fn list_objects(&self, path: String, head: Duration) -> PlatformResult {
         let conn = self.client.get(url(self.address, &path));
-        let limits = AnswerLimits::of_large(head, self.timeout);
+        let limits = ResponseTimeouts::for_large_response(head, self.timeout);
         let (era, answer) = exchange_with_era(conn, limits, ERA_HEADER).await?;
         match answer.status {
             200 => {
--- a/shalehinge/src/object_api/store_era.rs
+++ b/shalehinge/src/object_api/store_era.rs
@@ -5,7 +5,7 @@
 
 use crate::core::platform::NoAnswer;
 use crate::core::types::StoreEra;
-use crate::utils::http::{AnswerLimits, WholeAnswer, exchange_with_headers};
+use crate::utils::http::{HttpResponse, ResponseTimeouts, exchange_with_headers};
 
 /// Sends a request and reads the complete response and the store era in its header `header`.
 ///
@@ -14,9 +14,9 @@
 /// [`NoAnswer`] if no complete response came within the limits, or its era is invalid.
 pub async fn exchange_with_era(
     conn: Conn,
-    limits: AnswerLimits,
+    limits: ResponseTimeouts,
     header: &'static str,
-) -> Result<(StoreEra, WholeAnswer), NoAnswer> {
+) -> Result<(StoreEra, HttpResponse), NoAnswer> {
     let answer = exchange_with_headers(conn, limits).await.ok_or(NoAnswer)?;
     Ok((parse_era(&answer.headers, header)?, answer))
 }
--- a/shalehinge/src/upstream/engine.rs
+++ b/shalehinge/src/upstream/engine.rs
@@ -1,4 +1,5 @@
-//! Status and orders of model engines by JSON over HTTP. See docs/INTERFACES.md.
+//! Client for the statuses and orders of model engines, by JSON over HTTP. See
+//! docs/INTERFACES.md.
 
 use std::time::Duration;
 
@@ -11,20 +12,20 @@
 use crate::core::types::{Address, HostId};
 use crate::utils::http::{exchange, pooled_client, url};
 
-/// Path of the status.
+/// Path of an engine's status.
 pub const STATUS_PATH: &str = "/v1/status";
-/// Path of the orders.
+/// Path that orders are posted to.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// A client of all engines.
+/// HTTP client for all engines.
 #[derive(Clone, Debug)]
-pub struct HttpEngines {
+pub struct HttpEngineClient {
     client: Client,
     timeout: Duration,
 }
 
-impl HttpEngines {
-    /// A client that gives up each call after `timeout`.
+impl HttpEngineClient {
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             client: pooled_client(),
@@ -33,6 +34,8 @@
     }
 }
 
+/// Sends a request and parses its JSON response; `None` on a time-out, another status than 200 or
+/// an invalid body.
 async fn read_json<T: DeserializeOwned>(conn: Conn, timeout: Duration) -> Option<T> {
     let (status, body) = exchange(conn, timeout).await?;
     if status != 200 {
@@ -41,7 +44,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-impl EngineClient for HttpEngines {
+impl EngineClient for HttpEngineClient {
     fn status(&self, _host: Option<HostId>, address: Address) -> Boxed<Option<EngineStatus>> {
         let conn = self.client.get(url(address, STATUS_PATH));
         Box::pin(read_json(conn, self.timeout))
--- a/shalehinge/src/utils/http.rs
+++ b/shalehinge/src/utils/http.rs
@@ -1,4 +1,4 @@
-//! HTTP clients and servers, built alike everywhere.
+//! Common configuration of HTTP clients and listeners.
 
 use std::io::{Error, ErrorKind};
 use std::net::{SocketAddr, TcpListener};
@@ -11,13 +11,13 @@
 use trillium_server_common::{Connector, Destination};
 use trillium_smol::{ClientConfig, SmolRuntime};
 
-use super::time::within;
+use super::time::with_timeout;
 
-/// Time for a TCP connection to be made.
+/// Time-out for establishing a TCP connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connects with a limit, and reports every failure to connect in one way, so
-/// that "nothing was sent" can be told from "no answer came".
+/// Connects with a time-out and reports every connection failure by the same error kind, so that
+/// "nothing was sent" can be distinguished from "no response arrived".
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BoundedConnector(ClientConfig);
 
@@ -36,7 +36,7 @@
 
     async fn connect_to(&self, destination: Destination) -> std::io::Result<Self::Transport> {
         let connect = self.0.with_nodelay(true).connect_to_owned(destination);
-        match within(CONNECT_TIMEOUT, connect).await {
+        match with_timeout(CONNECT_TIMEOUT, connect).await {
             Some(Ok(transport)) => Ok(transport),
             Some(Err(error)) => Err(not_connected(&error.to_string())),
             None => Err(not_connected("timed out")),
@@ -48,7 +48,8 @@
     }
 }
 
-/// Owns its configuration, so that the future borrows nothing.
+/// Like [`Connector::connect_to`], but takes the configuration by value, so that the future
+/// borrows nothing.
 trait ConnectOwned {
     async fn connect_to_owned(
         self,
@@ -65,135 +66,146 @@
     }
 }
 
-fn not_connected(why: &str) -> Error {
+fn not_connected(reason: &str) -> Error {
     Error::new(
         ErrorKind::ConnectionRefused,
-        format!("not connected: {why}"),
+        format!("not connected: {reason}"),
     )
 }
 
-/// Whether a client's error shows that no connection was made, so nothing was sent.
+/// Whether a client error shows that no connection was established, so that nothing was sent.
 pub fn is_not_connected(error: &trillium_client::Error) -> bool {
     matches!(error, trillium_client::Error::Io(error) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Bodies are always at hand whole, so no server is asked first whether it wants one:
-/// those that don't know `Expect` would cost the wait for an answer to it.
-const NEVER_ASK_FIRST: usize = usize::MAX;
+/// Body size from which the client sends `Expect: 100-continue`. Bodies are always held in memory,
+/// so it is never sent: servers that don't support `Expect` would cost the client a time-out.
+const NEVER_EXPECT_CONTINUE: usize = usize::MAX;
 
-/// A client that keeps connections, for calls that are answered whole.
+/// Creates a client that reuses connections, for calls whose response is read to its end.
 pub fn pooled_client() -> Client {
-    Client::new(BoundedConnector::default()).with_max_buffered_request_body(NEVER_ASK_FIRST)
+    Client::new(BoundedConnector::default()).with_max_buffered_request_body(NEVER_EXPECT_CONTINUE)
 }
 
-/// A client that uses each connection once, for attempts of callers' requests:
-/// what is left of an abandoned one can never reach another request.
+/// Creates a client that uses each connection once, for attempts of callers' requests: the rest of
+/// an abandoned response can then never be taken for the response to another request.
 pub fn single_use_client() -> Client {
     pooled_client().without_keepalive()
 }
 
-/// A URL on an address.
+/// Builds an `http` URL from an address and a path.
 pub fn url(address: SocketAddr, path: &str) -> String {
     format!("http://{address}{path}")
 }
 
-/// Time in which a large answer must be whole, though parts of it go on coming. 1 MB,
-/// the most that the platform keeps in one object, over a twentieth of a link of 20 Mbit/s.
-pub const LARGE_ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Additional time for a large response to complete while its data keeps arriving: the time that
+/// 1 MB, the platform's maximum object size, takes over a twentieth of a 20 Mbit/s link.
+pub const LARGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How long an answer may take.
+/// Time-outs for a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerLimits {
-    /// Time until its head comes.
+pub struct ResponseTimeouts {
+    /// Maximum time until the head has arrived.
     pub head: Duration,
-    /// Time in which no part of its body comes.
-    pub silence: Duration,
-    /// Time until it is whole.
-    pub whole: Duration,
+    /// Maximum time between two chunks of the body.
+    pub idle: Duration,
+    /// Maximum time until the response is complete.
+    pub total: Duration,
 }
 
-impl AnswerLimits {
-    /// All of it within so long.
-    pub fn in_all(limit: Duration) -> Self {
+impl ResponseTimeouts {
+    /// The whole response must arrive within `limit`.
+    pub fn uniform(limit: Duration) -> Self {
         Self {
             head: limit,
-            silence: limit,
-            whole: limit,
+            idle: limit,
+            total: limit,
         }
     }
 
-    /// Its head within `head`; then parts of it must come at intervals of `silence` at most.
-    /// With a limit for the whole, what is too large for a busy link is given up and asked
-    /// for again without end.
-    pub fn of_large(head: Duration, silence: Duration) -> Self {
+    /// Time-outs for a large response: the head must arrive within `head`, and then chunks of the
+    /// body at intervals of at most `idle`. With `head` as the limit for the whole response,
+    /// one that is too large for a busy link would be abandoned and requested again forever.
+    pub fn for_large_response(head: Duration, idle: Duration) -> Self {
         Self {
             head,
-            silence,
-            whole: head + LARGE_ANSWER_TIMEOUT,
+            idle,
+            total: head + LARGE_RESPONSE_TIMEOUT,
         }
     }
 }
 
-/// Sends a request and reads its whole answer, if all of it comes in time.
+/// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
+/// response did not arrive completely within `limit`.
 pub async fn exchange(conn: ClientConn, limit: Duration) -> Option<(u16, Vec<u8>)> {
-    exchange_within(conn, AnswerLimits::in_all(limit)).await
+    exchange_with_timeouts(conn, ResponseTimeouts::uniform(limit)).await
 }
 
-/// Sends a request and reads its whole answer, as long as it comes within these limits.
-pub async fn exchange_within(conn: ClientConn, limits: AnswerLimits) -> Option<(u16, Vec<u8>)> {
-    let answer = exchange_with_headers(conn, limits).await?;
-    Some((answer.status, answer.body))
+/// Sends a request and reads its whole response. Returns the status and the body, or `None` if the
+/// response did not arrive completely within these time-outs.
+pub async fn exchange_with_timeouts(
+    conn: ClientConn,
+    timeouts: ResponseTimeouts,
+) -> Option<(u16, Vec<u8>)> {
+    let response = exchange_with_headers(conn, timeouts).await?;
+    Some((response.status, response.body))
 }
 
-/// An answer that came whole.
+/// A response that was read to its end.
 #[derive(Debug)]
-pub struct WholeAnswer {
-    /// Its status.
+pub struct HttpResponse {
+    /// HTTP status.
     pub status: u16,
-    /// Its headers.
+    /// Response headers.
     pub headers: Headers,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Like [`exchange_within`], with the headers of the answer.
-pub async fn exchange_with_headers(conn: ClientConn, limits: AnswerLimits) -> Option<WholeAnswer> {
-    let whole = async {
-        let conn = within(limits.head, conn.into_future()).await?.ok()?;
-        let mut answer = Answer::new(conn);
-        let body = answer.read(limits.silence).await?;
-        answer.into_parts(body)
+/// Like [`exchange_with_timeouts`], and returns the response headers too.
+pub async fn exchange_with_headers(
+    conn: ClientConn,
+    timeouts: ResponseTimeouts,
+) -> Option<HttpResponse> {
+    let receive = async {
+        let conn = with_timeout(timeouts.head, conn.into_future())
+            .await?
+            .ok()?;
+        let mut response = PendingResponse::new(conn);
+        let body = response.read(timeouts.idle).await?;
+        response.into_http_response(body)
     };
-    within(limits.whole, whole).await.flatten()
+    with_timeout(timeouts.total, receive).await.flatten()
 }
 
-/// An answer that is being read. Its connection is closed unless all of it was: the library
-/// would else read on to use it again, and answers that were given up would fill the link.
-struct Answer(Option<ClientConn>);
+/// A response that is being read. Unless it was read to its end, its connection is closed on drop.
+/// The HTTP library would otherwise read the rest in order to reuse the connection, and abandoned
+/// responses would saturate the link.
+struct PendingResponse(Option<ClientConn>);
 
-impl Answer {
+impl PendingResponse {
     fn new(conn: ClientConn) -> Self {
         Self(Some(conn))
     }
 
-    async fn read(&mut self, silence: Duration) -> Option<Vec<u8>> {
-        const PIECE: usize = 16 * 1024;
+    async fn read(&mut self, idle: Duration) -> Option<Vec<u8>> {
+        const CHUNK_SIZE: usize = 16 * 1024;
         let mut body = self.0.as_mut()?.response_body();
-        let mut piece = vec![0; PIECE];
+        let mut chunk = vec![0; CHUNK_SIZE];
         let mut bytes = Vec::new();
         loop {
-            let count = within(silence, body.read(&mut piece)).await?.ok()?;
-            if count == 0 {
+            let length = with_timeout(idle, body.read(&mut chunk)).await?.ok()?;
+            if length == 0 {
                 return Some(bytes);
             }
-            bytes.extend_from_slice(&piece[..count]);
+            bytes.extend_from_slice(&chunk[..length]);
         }
     }
 
-    /// Gives the connection back, as its answer was read whole.
-    fn into_parts(mut self, body: Vec<u8>) -> Option<WholeAnswer> {
+    /// Releases the connection for reuse, as the response was read to its end.
+    fn into_http_response(mut self, body: Vec<u8>) -> Option<HttpResponse> {
         let conn = self.0.take()?;
-        Some(WholeAnswer {
+        Some(HttpResponse {
             status: u16::from(conn.status()?),
             headers: conn.response_headers().clone(),
             body,
@@ -201,7 +213,7 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         if let Some(conn) = self.0.take() {
             drop(conn.with_request_header(KnownHeaderName::Connection, "close"));
@@ -209,18 +221,23 @@
     }
 }
 
-/// Why a port can't be listened on.
+/// Error of binding a listener.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 #[error("can't listen on {address}: {error}")]
-#[diagnostic(help("choose another port in [listen], or end what holds this one"))]
+#[diagnostic(help("choose another port in [listen], or stop the process that uses this one"))]
 pub struct ListenError {
-    /// The address.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// What the system said.
+    /// The error of the operating system.
     pub error: Error,
 }
 
-/// Binds a listener, so that a taken port is an error and not a panic.
+/// Binds a listener and returns it with its actual address. The socket is bound here and not by
+/// the server library, which would panic if the port is in use.
+///
+/// # Errors
+///
+/// Returns an error if the address can't be bound.
 pub fn bind(address: SocketAddr) -> Result<(smol::net::TcpListener, SocketAddr), ListenError> {
     let bind = || {
         let listener = TcpListener::bind(address)?;
--- a/standin/src/platform/handler.rs
+++ b/standin/src/platform/handler.rs
@@ -5,7 +5,7 @@
 
 use serde_json::Value;
 use shalehinge::object_api::http::{ERA_HEADER, WireVersion};
-use shalehinge::utils::time::within;
+use shalehinge::utils::time::with_timeout;
 use trillium::{Conn, Handler, Status};
 use trillium_router::{Router, RouterConnExt};
 
@@ -183,7 +183,7 @@
             // Checks again at least every 500 ms, so that a fault set in the meantime takes
             // effect.
             let remaining = deadline.saturating_duration_since(Instant::now());
-            within(remaining.min(Duration::from_millis(500)), next_write.recv()).await;
+            with_timeout(remaining.min(Duration::from_millis(500)), next_write.recv()).await;
         }
     }
 
