--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -227,7 +227,7 @@
     /// still be used. A daemon that is cut off from every daemon that knows the newer
     /// configuration keeps serving.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
-        let within = self.settings.learning.served_when_superseded();
+        let within = self.settings.learning.superseded_grace_period();
         within.is_some_and(|within| self.superseded.is_outdated_for(now, within))
     }
 
--- a/shalehinge/src/gateway/handler.rs
+++ b/shalehinge/src/gateway/handler.rs
@@ -1,34 +1,35 @@
-//! Which path goes where.
+//! Handlers of the listeners for callers and for readiness checks.
 
 use trillium::{Conn, Handler, Status};
 use trillium_router::Router;
 
 use super::{GatewayContext, chat, models, relay, service};
-use crate::upstream::relay::RelayNames;
+use crate::upstream::relay::RelayHeaderNames;
 
-/// Handles callers.
+/// Handler for callers of the project's own API: chat completions, the list of models, health
+/// and readiness checks, and plain services on all other paths.
 pub fn handler(context: GatewayContext) -> impl Handler {
-    let chats = context.clone();
-    let lists = context.clone();
-    let ready = context.clone();
+    let chat_context = context.clone();
+    let models_context = context.clone();
+    let readiness_context = context.clone();
     let router = Router::new()
-        .post(chat::PATH, move |conn: Conn| {
-            let context = chats.clone();
+        .post(chat::CHAT_COMPLETIONS_PATH, move |conn: Conn| {
+            let context = chat_context.clone();
             async move { chat::handle(context, conn).await }
         })
         .get("/v1/models", move |conn: Conn| {
-            let context = lists.clone();
+            let context = models_context.clone();
             async move { models::handle(context, conn).await }
         })
         .get("/healthz", |conn: Conn| async move {
-            // The process runs and answers.
+            // A liveness check: the process runs and responds.
             conn.ok("ok\n")
         })
         .get("/readyz", move |conn: Conn| {
-            let context = ready.clone();
+            let context = readiness_context.clone();
             async move { readiness(&context, conn) }
         });
-    let services = move |conn: Conn| {
+    let service_handler = move |conn: Conn| {
         let context = context.clone();
         async move {
             if conn.status().is_some() {
@@ -37,26 +38,26 @@
             service::handle(context, conn).await
         }
     };
-    (router, services)
+    (router, service_handler)
 }
 
-/// Handles callers whose requests are relayed by routes.
-pub fn relay_handler(context: GatewayContext, names: RelayNames) -> impl Handler {
+/// Handler for callers whose requests are relayed by the routes of the configuration.
+pub fn relay_handler(context: GatewayContext, names: RelayHeaderNames) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
         async move { relay::handle(context, names, conn).await }
     }
 }
 
-/// Answers the balancer.
-pub fn ready_handler(context: GatewayContext) -> impl Handler {
+/// Handler for readiness checks of the load balancer on their own listener.
+pub fn readiness_handler(context: GatewayContext) -> impl Handler {
     move |conn: Conn| {
         let context = context.clone();
         async move { readiness(&context, conn) }
     }
 }
 
-/// Whether new callers should come here.
+/// Responds with 200 if the load balancer should send new callers here, 503 otherwise.
 fn readiness(context: &GatewayContext, conn: Conn) -> Conn {
     if context.driver.read(|_, core| core.is_ready()) {
         conn.ok("ready\n")
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Requests that are relayed as they are, by the routes of the configuration.
+//! Requests that are relayed unchanged to the upstreams that the configured routes select.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use sha2::{Digest, Sha256};
 use trillium::{Body, Conn, KnownHeaderName, Status};
 
-use super::answer::LeaveGuard;
-use super::{GatewayContext, intake};
+use super::response::DisconnectGuard;
+use super::{GatewayContext, request_input};
 use crate::core::fingerprint::Fingerprint;
 use crate::core::objects::RequestKind;
 use crate::core::operator::hex;
@@ -19,42 +19,45 @@
 };
 use crate::core::routes::{RouteMatch, RouteQuery, RouteRefusal, model_of_service};
 use crate::core::types::Customer;
-use crate::process::callers::CallerPart;
-use crate::upstream::attempt::{AnswerForm, AnswerPart, OutgoingRequest, WholeAnswer};
-use crate::upstream::relay::{AnswerHead, HOP_BY_HOP, RelayNames, RelayPart, StreamPosition};
+use crate::process::pending_requests::CallerMessage;
+use crate::upstream::attempt::{OutgoingRequest, ResponseMode, ResponsePart, WholeResponse};
+use crate::upstream::relay::{
+    HOP_BY_HOP_HEADERS, RelayContext, RelayHeaderNames, ResponseHead, StreamPosition,
+};
 
-/// The customer of requests without a key.
+/// Customer that requests without a key are counted under.
 const ANONYMOUS: &str = "anonymous";
-/// When a caller is to come back that came before the daemon knows its routes.
-const NOT_READY_RETRY: Duration = Duration::from_millis(300);
-/// Highest rank of a request; the core counts priorities the other way round.
-const MOST_RANK: u8 = 9;
+/// Retry delay for callers that arrive before the daemon has routes in force.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Highest rank of a request. Priorities in the core run in the opposite direction: rank 0 is
+/// priority 9.
+const MAX_RANK: u8 = 9;
 
-/// An answer of the daemon's own.
+/// A response that the daemon itself generates, with a plain text body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct OwnAnswer {
+struct DaemonResponse {
     status: Status,
     text: &'static str,
     retry_after: Option<Duration>,
-    closes: bool,
+    closes_connection: bool,
 }
 
-impl OwnAnswer {
+impl DaemonResponse {
     const fn new(status: Status, text: &'static str) -> Self {
         Self {
             status,
             text,
             retry_after: None,
-            closes: false,
+            closes_connection: false,
         }
     }
 
-    fn of_refusal(refusal: RouteRefusal) -> Self {
+    fn from_refusal(refusal: RouteRefusal) -> Self {
         match refusal {
             RouteRefusal::UnknownRoute => Self::new(Status::NotFound, "no route fits\n"),
             RouteRefusal::UnknownKey => Self::new(Status::Unauthorized, "the key is not known\n"),
             RouteRefusal::NotReady => Self {
-                retry_after: Some(NOT_READY_RETRY),
+                retry_after: Some(NOT_READY_RETRY_AFTER),
                 ..Self::new(
                     Status::ServiceUnavailable,
                     "no configuration that is known to be in force; it did not run\n",
@@ -63,7 +66,7 @@
         }
     }
 
-    fn of_outcome(outcome: Outcome) -> Self {
+    fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun {
                 reason: NotRunReason::KeyTakenAway,
@@ -88,40 +91,40 @@
             let seconds = format!("{:.3}", after.as_secs_f64());
             conn = conn.with_response_header(KnownHeaderName::RetryAfter, seconds);
         }
-        if self.closes {
+        if self.closes_connection {
             conn = conn.with_response_header(KnownHeaderName::Connection, "close");
         }
         conn.halt()
     }
 }
 
-/// Relays a request and its answer.
-pub async fn handle(context: GatewayContext, names: RelayNames, mut conn: Conn) -> Conn {
+/// Relays a request to an upstream and the response back to the caller.
+pub async fn handle(context: GatewayContext, names: RelayHeaderNames, mut conn: Conn) -> Conn {
     let (meta, outgoing) = match prepare(&context, names, &mut conn).await {
         Ok(prepared) => prepared,
-        Err(answer) => return answer.write(conn),
+        Err(response) => return response.write(conn),
     };
-    let came = arrival(&meta, &outgoing);
+    let log_text = request_log_text(&meta, &outgoing);
     let (request, parts) = context.driver.submit(meta, outgoing);
-    log::info!(target: "shalehinge", "route: request {} {came}", request.0);
-    let guard = LeaveGuard::new(context.driver.clone(), request);
-    let first = conn
+    log::info!(target: "shalehinge", "route: request {} {log_text}", request.0);
+    let guard = DisconnectGuard::new(context.driver.clone(), request);
+    let first_part = conn
         .cancel_on_disconnect(wait_for_first(parts.clone()))
         .await;
-    match first {
-        // The caller is gone; the guard says so.
+    match first_part {
+        // The caller has disconnected; dropping the guard reports it.
         None => conn.halt(),
         Some(FirstPart::Head(head)) => write_stream(conn, head, parts, guard),
         Some(FirstPart::Ended(whole, outcome)) => {
             guard.disarm();
-            let closes = context.driver.read(|_, core| !core.is_ready());
-            write_whole(conn, whole, outcome, closes)
+            let closes_connection = context.driver.read(|_, core| !core.is_ready());
+            write_whole(conn, whole, outcome, closes_connection)
         }
     }
 }
 
-/// What a log line says of a request that came in; its id finds it again.
-fn arrival(meta: &RequestMeta, outgoing: &OutgoingRequest) -> String {
+/// Text of the log line of a received request. Its id links the line to the caller's own logs.
+fn request_log_text(meta: &RequestMeta, outgoing: &OutgoingRequest) -> String {
     let id = outgoing
         .relay
         .as_ref()
@@ -139,14 +142,14 @@
 
 async fn prepare(
     context: &GatewayContext,
-    names: RelayNames,
+    names: RelayHeaderNames,
     conn: &mut Conn,
-) -> Result<(RequestMeta, OutgoingRequest), OwnAnswer> {
-    let came_at = context.driver.now();
+) -> Result<(RequestMeta, OutgoingRequest), DaemonResponse> {
+    let received_at = context.driver.now();
     let headers = conn.request_headers();
     let credential = credential(names, conn);
     let request_id = headers.get_str(names.request_id).map(str::to_owned);
-    let spread = request_id.as_deref().map_or(0, spread_of);
+    let spread = request_id.as_deref().map_or(0, request_id_hash);
     let host = headers.get_str(KnownHeaderName::Host).unwrap_or_default();
     let query = RouteQuery {
         host,
@@ -161,31 +164,36 @@
             let target = target_of(core, &routed, headers.get_str(names.model));
             Ok((routed, target, core.routes().limits()))
         })
-        .map_err(OwnAnswer::of_refusal)?;
+        .map_err(DaemonResponse::from_refusal)?;
     let holder = routed.holder.as_ref();
     let customer = holder.map(|holder| holder.customer.clone());
     let timeout = Duration::from_millis(routed.route.timeout_ms);
-    let asked = headers
+    let requested_timeout = headers
         .get_str(names.deadline)
         .and_then(|text| text.trim().parse().ok())
         .map_or(timeout, Duration::from_millis);
-    let (prompt_tokens, max_output_tokens) = tokens(headers.get_str(names.tokens));
-    let passed = passed_headers(names, conn);
+    let (prompt_tokens, max_output_tokens) = token_counts(headers.get_str(names.tokens));
+    let forwarded = forwarded_headers(names, conn);
     let host_and_path = format!("{host}{}", conn.path_and_query());
-    let most = limits.map_or(context.limits.max_body_bytes, |limits| {
+    let max_body_bytes = limits.map_or(context.limits.max_body_bytes, |limits| {
         limits.max_body_bytes
     });
-    let body = body(context, conn, most).await?;
-    let payer = customer.clone().unwrap_or_else(|| Customer::new(ANONYMOUS));
+    let body = body(context, conn, max_body_bytes).await?;
+    let accounted_customer = customer.clone().unwrap_or_else(|| Customer::new(ANONYMOUS));
     let meta = RequestMeta {
-        fingerprint: Fingerprint::of(&payer, conn.method().as_str(), &host_and_path, &body),
-        customer: payer,
+        fingerprint: Fingerprint::of(
+            &accounted_customer,
+            conn.method().as_str(),
+            &host_and_path,
+            &body,
+        ),
+        customer: accounted_customer,
         target,
         prompt_tokens,
         max_output_tokens,
-        deadline: came_at + asked.min(timeout),
-        first_output_within: aim_of(routed.route.target_latency_ms),
-        priority: MOST_RANK.saturating_sub(routed.rank()),
+        deadline: received_at + requested_timeout.min(timeout),
+        first_output_within: target_latency(routed.route.target_latency_ms),
+        priority: MAX_RANK.saturating_sub(routed.rank()),
         key: None,
         repeatable: routed.is_repeatable(),
         prefix: Vec::new(),
@@ -196,10 +204,10 @@
     let outgoing = OutgoingRequest {
         method: conn.method(),
         path: conn.path_and_query().to_owned(),
-        headers: passed,
+        headers: forwarded,
         body: body.into(),
-        answer: AnswerForm::Service,
-        relay: Some(RelayPart {
+        response_mode: ResponseMode::Service,
+        relay: Some(RelayContext {
             names,
             request_id,
             customer: customer.map(|customer| customer.to_string()),
@@ -209,13 +217,13 @@
     Ok((meta, outgoing))
 }
 
-/// The time that a route aims at; 0 stands for none.
-fn aim_of(target_latency_ms: u64) -> Option<Duration> {
+/// The target latency of a route; 0 stands for none.
+fn target_latency(target_latency_ms: u64) -> Option<Duration> {
     (target_latency_ms > 0).then(|| Duration::from_millis(target_latency_ms))
 }
 
-/// SHA-256 of the caller's key in hexadecimal, if it sent one.
-fn credential(names: RelayNames, conn: &Conn) -> Option<Credential> {
+/// SHA-256 of the caller's key in hexadecimal, if the request has one.
+fn credential(names: RelayHeaderNames, conn: &Conn) -> Option<Credential> {
     let header = conn
         .request_headers()
         .get_str(KnownHeaderName::Authorization)?;
@@ -223,15 +231,15 @@
     Some(hex(&Sha256::digest(key.as_bytes())).into())
 }
 
-/// A number that follows from the request's id alone.
-fn spread_of(request_id: &str) -> u64 {
+/// A hash of the request's id, so that retries by the caller are routed alike.
+fn request_id_hash(request_id: &str) -> u64 {
     use std::hash::Hasher;
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(request_id.as_bytes());
     hasher.finish()
 }
 
-/// A model of the service where it has models, the service itself otherwise.
+/// The model of the service if the configuration has models for it, otherwise the service.
 fn target_of(
     core: &crate::core::daemon::Daemon,
     routed: &RouteMatch,
@@ -248,7 +256,8 @@
     Target::Service(routed.service.clone())
 }
 
-fn tokens(header: Option<&str>) -> (u32, u32) {
+/// Reads the numbers of prompt and maximum output tokens; 0 stands for unknown.
+fn token_counts(header: Option<&str>) -> (u32, u32) {
     let mut numbers = header
         .unwrap_or_default()
         .split(',')
@@ -257,62 +266,68 @@
     (prompt, numbers.next().unwrap_or(0))
 }
 
-async fn body(context: &GatewayContext, conn: &mut Conn, most: u64) -> Result<Vec<u8>, OwnAnswer> {
+/// Reads the request body of at most `most` bytes.
+async fn body(
+    context: &GatewayContext,
+    conn: &mut Conn,
+    max_body_bytes: u64,
+) -> Result<Vec<u8>, DaemonResponse> {
     let limits = crate::settings::daemon::LimitSettings {
-        max_body_bytes: most,
+        max_body_bytes,
         ..context.limits
     };
-    intake::read_body(&limits, conn)
+    request_input::read_body(&limits, conn)
         .await
-        .map_err(|error| OwnAnswer {
-            closes: true,
-            ..OwnAnswer::new(error.status, "the body can't be read\n")
+        .map_err(|error| DaemonResponse {
+            closes_connection: true,
+            ..DaemonResponse::new(error.status, "the body can't be read\n")
         })
 }
 
-/// Headers that go on to the upstream.
-fn passed_headers(names: RelayNames, conn: &Conn) -> Vec<(String, String)> {
+/// Request headers that are forwarded to the upstream: all but those of the connection and those
+/// that the daemon sets or evaluates itself.
+fn forwarded_headers(names: RelayHeaderNames, conn: &Conn) -> Vec<(String, String)> {
     let headers = conn.request_headers();
-    let of_connection: Vec<String> = headers
+    let connection_headers: Vec<String> = headers
         .get_str(KnownHeaderName::Connection)
         .unwrap_or_default()
         .split(',')
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let own = ["authorization", names.customer, names.host, names.deadline];
-    let mut passed = Vec::new();
+    let consumed_headers = ["authorization", names.customer, names.host, names.deadline];
+    let mut forwarded = Vec::new();
     for (name, values) in headers {
         let name = name.to_string();
         let lower = name.to_ascii_lowercase();
-        let stays = HOP_BY_HOP.contains(&lower.as_str())
-            || own.contains(&lower.as_str())
-            || of_connection.contains(&lower);
-        if stays {
+        let is_dropped = HOP_BY_HOP_HEADERS.contains(&lower.as_str())
+            || consumed_headers.contains(&lower.as_str())
+            || connection_headers.contains(&lower);
+        if is_dropped {
             continue;
         }
         for value in values {
             if let Some(value) = value.as_str() {
-                passed.push((name.clone(), value.to_owned()));
+                forwarded.push((name.clone(), value.to_owned()));
             }
         }
     }
-    passed
+    forwarded
 }
 
-/// What the wait for an answer came to.
+/// What the wait for the first part of a response ended with.
 enum FirstPart {
-    Head(AnswerHead),
-    Ended(Option<WholeAnswer>, Outcome),
+    Head(ResponseHead),
+    Ended(Option<WholeResponse>, Outcome),
 }
 
-async fn wait_for_first(parts: Receiver<CallerPart>) -> FirstPart {
+async fn wait_for_first(parts: Receiver<CallerMessage>) -> FirstPart {
     let mut whole = None;
     loop {
         match parts.recv().await {
-            Ok(CallerPart::Part(AnswerPart::Head(head))) => return FirstPart::Head(head),
-            Ok(CallerPart::Part(AnswerPart::Whole(answer))) => whole = Some(answer),
-            Ok(CallerPart::Part(AnswerPart::StreamBegins | AnswerPart::Piece(_))) => {}
-            Ok(CallerPart::Ended(outcome)) => return FirstPart::Ended(whole, outcome),
+            Ok(CallerMessage::Part(ResponsePart::Head(head))) => return FirstPart::Head(head),
+            Ok(CallerMessage::Part(ResponsePart::Whole(response))) => whole = Some(response),
+            Ok(CallerMessage::Part(ResponsePart::StreamStart | ResponsePart::Chunk(_))) => {}
+            Ok(CallerMessage::Ended(outcome)) => return FirstPart::Ended(whole, outcome),
             Err(_) => {
                 let reason = UnknownReason::Lost;
                 return FirstPart::Ended(None, Outcome::Unknown { reason });
@@ -321,17 +336,22 @@
     }
 }
 
-fn write_whole(conn: Conn, whole: Option<WholeAnswer>, outcome: Outcome, closes: bool) -> Conn {
-    let passes = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
-    let Some(whole) = whole.filter(|_| passes) else {
-        let own = OwnAnswer {
-            closes,
-            ..OwnAnswer::of_outcome(outcome)
+fn write_whole(
+    conn: Conn,
+    whole: Option<WholeResponse>,
+    outcome: Outcome,
+    closes_connection: bool,
+) -> Conn {
+    let forwards_body = matches!(outcome, Outcome::Completed | Outcome::Failed { .. });
+    let Some(whole) = whole.filter(|_| forwards_body) else {
+        let response = DaemonResponse {
+            closes_connection,
+            ..DaemonResponse::from_outcome(outcome)
         };
-        return own.write(conn);
+        return response.write(conn);
     };
     let mut conn = write_head(conn, whole.status, whole.headers);
-    if closes {
+    if closes_connection {
         conn = conn.with_response_header(KnownHeaderName::Connection, "close");
     }
     conn.with_body(whole.body).halt()
@@ -346,45 +366,45 @@
     conn.with_status(status)
 }
 
-/// Passes on events as they come. A stream that can't go on ends the connection, so
-/// that the caller sees that it is not whole.
+/// Forwards events as they arrive. If the stream fails, the connection is aborted, so that the
+/// caller can detect that the response is incomplete.
 fn write_stream(
     conn: Conn,
-    head: AnswerHead,
-    parts: Receiver<CallerPart>,
-    guard: LeaveGuard,
+    head: ResponseHead,
+    parts: Receiver<CallerMessage>,
+    guard: DisconnectGuard,
 ) -> Conn {
-    let pieces = stream::unfold(Some((parts, guard)), |state| async move {
+    let chunks = stream::unfold(Some((parts, guard)), |state| async move {
         let (parts, guard) = state?;
         loop {
             match parts.recv().await {
-                Ok(CallerPart::Part(AnswerPart::Piece(piece))) => {
-                    return Some((Ok(piece), Some((parts, guard))));
+                Ok(CallerMessage::Part(ResponsePart::Chunk(chunk))) => {
+                    return Some((Ok(chunk), Some((parts, guard))));
                 }
-                Ok(CallerPart::Part(_)) => {}
-                Ok(CallerPart::Ended(outcome)) => {
+                Ok(CallerMessage::Part(_)) => {}
+                Ok(CallerMessage::Ended(outcome)) => {
                     guard.disarm();
                     if outcome == Outcome::Completed {
                         return None;
                     }
-                    // What came before the break goes out first: the server flushes
-                    // whenever nothing is at hand, and drops the rest on an error.
+                    // Lets events received before the failure go out first: the server flushes
+                    // its buffer whenever the body has nothing ready, and discards it on an error.
                     futures_lite::future::yield_now().await;
-                    return Some((Err(broken_off()), None));
+                    return Some((Err(stream_failed()), None));
                 }
-                Err(_) => return Some((Err(broken_off()), None)),
+                Err(_) => return Some((Err(stream_failed()), None)),
             }
         }
     });
-    let body = Body::new_streaming(Box::pin(pieces).into_async_read(), None);
+    let body = Body::new_streaming(Box::pin(chunks).into_async_read(), None);
     write_head(conn, head.status, head.headers)
         .with_body(body)
         .halt()
 }
 
-fn broken_off() -> std::io::Error {
+fn stream_failed() -> std::io::Error {
     std::io::Error::new(
         std::io::ErrorKind::ConnectionAborted,
-        "the stream broke off",
+        "the upstream's stream failed before its end",
     )
 }
--- a/shalehinge/src/peer/client.rs
+++ b/shalehinge/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Pulls and notices to peers.
+//! Sends pulls and notices to peers.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use super::{NOTICE_PATH, PULL_PATH};
 use crate::core::event::{Notice, Pull, PullReply, PullTopic};
 use crate::core::types::Address;
-use crate::utils::http::{AnswerLimits, exchange, exchange_within, pooled_client, url};
+use crate::utils::http::{ResponseTimeouts, exchange, exchange_with_timeouts, pooled_client, url};
 
-/// A peer's answer to a pull.
+/// A peer's reply to a pull.
 #[derive(Clone, Debug)]
-pub struct PulledReply {
-    /// What it says.
+pub struct ReceivedReply {
+    /// The decoded reply.
     pub reply: PullReply,
-    /// Bytes that it took on the way.
+    /// Size of the encoded reply, in bytes.
     pub bytes: usize,
 }
 
-/// A client of all peers.
+/// HTTP client for all peers.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     client: Client,
@@ -26,7 +26,7 @@
 }
 
 impl PeerClient {
-    /// A client that gives up each call after `timeout`.
+    /// Creates a client whose calls time out after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             client: pooled_client(),
@@ -34,31 +34,34 @@
         }
     }
 
-    /// Pulls from a peer; `None` if no answer came.
-    pub async fn pull(&self, to: Address, pull: &Pull) -> Option<PulledReply> {
+    /// Pulls from a peer; `None` if no valid reply arrived in time.
+    pub async fn pull(&self, to: Address, pull: &Pull) -> Option<ReceivedReply> {
         let body = rmp_serde::to_vec(pull).ok()?;
         let conn = self.client.post(url(to, PULL_PATH)).with_body(body);
-        let limits = self.limits(pull.topic);
-        let (status, body) = exchange_within(conn, limits).await?;
+        let timeouts = self.timeouts(pull.topic);
+        let (status, body) = exchange_with_timeouts(conn, timeouts).await?;
         if status != 200 {
             return None;
         }
         let reply = rmp_serde::from_slice(&body).ok()?;
         let bytes = body.len();
-        Some(PulledReply { reply, bytes })
+        Some(ReceivedReply { reply, bytes })
     }
 
-    /// How long the answer may take: what may be large goes on as long as parts of it come.
-    fn limits(&self, topic: PullTopic) -> AnswerLimits {
+    /// Time-outs for a pull. Replies with whole objects may be large, so they may go on for longer
+    /// while data keeps arriving.
+    fn timeouts(&self, topic: PullTopic) -> ResponseTimeouts {
         match topic {
-            PullTopic::WholeObjects => AnswerLimits::of_large(self.timeout, self.timeout),
+            PullTopic::WholeObjects => {
+                ResponseTimeouts::for_large_response(self.timeout, self.timeout)
+            }
             PullTopic::All | PullTopic::Objects | PullTopic::Moving => {
-                AnswerLimits::in_all(self.timeout)
+                ResponseTimeouts::uniform(self.timeout)
             }
         }
     }
 
-    /// Tells a peer that there is something new; a lost notice does no harm.
+    /// Notifies a peer of updates. Errors are ignored, as a lost notice does no harm.
     pub async fn notify(&self, to: Address, notice: &Notice) {
         let Ok(body) = rmp_serde::to_vec(notice) else {
             return;
--- a/shalehinge/src/process/peer_traffic.rs
+++ b/shalehinge/src/process/peer_traffic.rs
@@ -1,9 +1,9 @@
-//! How questions to peers fare: how many are open, answered or given up, and how many bytes
-//! their answers hold.
+//! Statistics on pulls from peers: how many are open, answered and unanswered, and the size of
+//! the replies.
 //!
-//! A daemon whose link is full of answers does not learn what is new, and looks like one
-//! whose processor or platform is slow. This line and the lateness of the ticks beside it tell
-//! these apart.
+//! A daemon whose link is saturated by replies does not receive updates in time, and looks like
+//! one with a slow processor or a slow platform. The log line of this module reports pulls
+//! together with the delay of the ticks, which tells these cases apart.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
@@ -13,13 +13,13 @@
 use crate::core::types::Timestamp;
 use crate::telemetry::metrics::{Counter, Metrics};
 
-/// Time between two lines. One line a second at the most, whatever happens.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes of answers of an interval from which a line is written. An ordinary interval
-/// of a daemon of seventy has some 20 kB.
-const NOTABLE_BYTES: usize = 200_000;
+/// Minimum time between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Bytes of replies in one interval from which a line is logged. The replies of an ordinary
+/// interval amount to about 20 kB in a fleet of seventy daemons.
+const LOG_THRESHOLD_BYTES: usize = 200_000;
 
-/// Questions of one topic.
+/// Counts of the pulls of one topic.
 #[derive(Clone, Copy, Debug, Default)]
 struct TopicCounts {
     open: u32,
@@ -44,17 +44,18 @@
 }
 
 #[derive(Debug, Default)]
+/// Counts since the last log line.
 struct Interval {
-    began_at: Timestamp,
+    started_at: Timestamp,
     all: TopicCounts,
     objects: TopicCounts,
     moving: TopicCounts,
     whole_objects: TopicCounts,
-    latest_tick: Duration,
+    max_tick_delay: Duration,
 }
 
 impl Interval {
-    fn of(&mut self, topic: PullTopic) -> &mut TopicCounts {
+    fn counts_of(&mut self, topic: PullTopic) -> &mut TopicCounts {
         match topic {
             PullTopic::All => &mut self.all,
             PullTopic::Objects => &mut self.objects,
@@ -67,20 +68,20 @@
         let topics = [self.all, self.objects, self.moving, self.whole_objects];
         let bytes: usize = topics.iter().map(|topic| topic.bytes).sum();
         let unanswered: u32 = topics.iter().map(|topic| topic.unanswered).sum();
-        unanswered > 0 || bytes >= NOTABLE_BYTES
+        unanswered > 0 || bytes >= LOG_THRESHOLD_BYTES
     }
 
-    /// The open ones stay open.
-    fn restart(&mut self, now: Timestamp) {
-        self.began_at = now;
-        self.latest_tick = Duration::ZERO;
+    /// Starts a new interval; pulls that are still open stay counted as open.
+    fn reset(&mut self, now: Timestamp) {
+        self.started_at = now;
+        self.max_tick_delay = Duration::ZERO;
         for topic in [
             PullTopic::All,
             PullTopic::Objects,
             PullTopic::Moving,
             PullTopic::WholeObjects,
         ] {
-            let counts = self.of(topic);
+            let counts = self.counts_of(topic);
             *counts = TopicCounts {
                 open: counts.open,
                 ..TopicCounts::default()
@@ -89,21 +90,21 @@
     }
 }
 
-/// Counts the questions to peers of one daemon.
+/// Counts the pulls of one daemon from its peers.
 #[derive(Debug, Default)]
 pub struct PeerTraffic(Mutex<Interval>);
 
 impl PeerTraffic {
-    /// A question is asked.
-    pub fn asked(&self, topic: PullTopic, metrics: &Metrics) {
+    /// Records that a pull was sent.
+    pub fn record_sent(&self, topic: PullTopic, metrics: &Metrics) {
         metrics.count(Counter::Pulls);
-        self.lock().of(topic).open += 1;
+        self.lock().counts_of(topic).open += 1;
     }
 
-    /// A question ended: with an answer of so many bytes, or without one.
-    pub fn ended(&self, topic: PullTopic, bytes: Option<usize>, metrics: &Metrics) {
+    /// Records that a pull ended. `bytes` is the size of the reply, `None` if no reply came.
+    pub fn record_end(&self, topic: PullTopic, bytes: Option<usize>, metrics: &Metrics) {
         let mut interval = self.lock();
-        let counts = interval.of(topic);
+        let counts = interval.counts_of(topic);
         counts.open = counts.open.saturating_sub(1);
         match bytes {
             Some(bytes) => {
@@ -118,12 +119,12 @@
         }
     }
 
-    /// A tick came so much later than it was due. Returns the line of the interval that
-    /// ended, if there is something to say.
+    /// Records a tick and the time by which it was late. Once per interval, returns a log line if
+    /// pulls went unanswered or the replies were large.
     pub fn tick(&self, now: Timestamp, late_by: Duration) -> Option<String> {
         let mut interval = self.lock();
-        interval.latest_tick = interval.latest_tick.max(late_by);
-        if now.since(interval.began_at) < INTERVAL {
+        interval.max_tick_delay = interval.max_tick_delay.max(late_by);
+        if now.since(interval.started_at) < LOG_INTERVAL {
             return None;
         }
         let line = interval.is_notable().then(|| {
@@ -133,10 +134,10 @@
                 interval.objects,
                 interval.moving,
                 interval.whole_objects,
-                interval.latest_tick.as_millis()
+                interval.max_tick_delay.as_millis()
             )
         });
-        interval.restart(now);
+        interval.reset(now);
         line
     }
 
--- a/shalehinge/src/upstream/attempt.rs
+++ b/shalehinge/src/upstream/attempt.rs
@@ -1,111 +1,112 @@
 //! One attempt of a caller's request, at an engine or a plain service.
 //!
-//! Each attempt has a connection of its own. What comes back is passed on only
-//! if it carries this attempt's id.
+//! Each attempt uses a connection of its own. Responses of engines are passed on only if they
+//! carry this attempt's id.
 
 use std::sync::Arc;
 
 use futures_lite::AsyncReadExt;
 use trillium_client::{Client, Conn, Method, ResponseBody};
 
-use super::relay::{self, AnswerHead, RelayPart};
-use super::signal::{self, SIGNAL_NAMES};
+use super::relay::{self, RelayContext, ResponseHead};
+use super::signal::{self, SIGNAL_HEADER_NAMES};
 use crate::core::router::request::{Attempt, AttemptEnd};
 use crate::core::signal::UpstreamSignal;
 use crate::utils::http::{is_not_connected, url};
 
-/// Header with the attempt's id, sent to and echoed by upstreams.
+/// Header with the attempt's id, sent to upstreams and echoed by them.
 pub const ATTEMPT_HEADER: &str = "x-shalehinge-attempt";
-/// Header with the group that must answer.
+/// Request header with the id of the replica group that must respond.
 pub const GROUP_HEADER: &str = "x-shalehinge-group";
-/// Header with the time left, in milliseconds.
+/// Request header with the time left until the deadline, in milliseconds.
 pub const TIME_LEFT_HEADER: &str = "x-shalehinge-time-left-ms";
-/// Header with the priority.
+/// Request header with the priority, from 0 to 9.
 pub const PRIORITY_HEADER: &str = "x-shalehinge-priority";
-/// Header by which an upstream says that it did not run the request.
+/// Response header by which an engine reports that it did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-shalehinge-not-run";
-/// End of a stream of events.
-pub const STREAM_END: &[u8] = b"data: [DONE]";
+/// Start of the line that ends a stream of events.
+pub const STREAM_END_MARKER: &[u8] = b"data: [DONE]";
 
-/// Bytes of a whole answer at most.
-const MAX_WHOLE_ANSWER: u64 = 16 * 1024 * 1024;
-/// Bytes read of a stream at a time.
+/// Maximum size of the body of a whole response, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 16 * 1024 * 1024;
+/// Maximum number of bytes read from a stream at a time.
 const READ_SIZE: usize = 8 * 1024;
 
-/// A request as it goes to an upstream.
+/// A request as it is sent to upstreams.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path with query.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, shared by all attempts of the request.
     pub body: Arc<[u8]>,
-    /// How the answer is read.
-    pub answer: AnswerForm,
-    /// Set where the request is relayed as it is.
-    pub relay: Option<RelayPart>,
+    /// How the response is read.
+    pub response_mode: ResponseMode,
+    /// Set if the request is relayed unchanged.
+    pub relay: Option<RelayContext>,
 }
 
-/// How an answer is read.
+/// How the response to an attempt is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerForm {
-    /// A model's answer in one piece.
+pub enum ResponseMode {
+    /// A model's response in one piece.
     Whole,
-    /// A model's answer as a stream of events.
+    /// A model's response as a stream of events.
     Stream,
-    /// A plain service's answer, passed on as it is.
+    /// A plain service's response, forwarded unchanged.
     Service,
 }
 
-/// What an attempt passes on to the caller.
+/// A part of a response that an attempt passes on to the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum AnswerPart {
-    /// A stream begins.
-    StreamBegins,
-    /// A relayed stream begins, with this head.
-    Head(AnswerHead),
-    /// A piece of a stream.
-    Piece(Vec<u8>),
-    /// A whole answer.
-    Whole(WholeAnswer),
+pub enum ResponsePart {
+    /// The start of a stream.
+    StreamStart,
+    /// The start of a relayed stream, with its status and headers.
+    Head(ResponseHead),
+    /// A chunk of a stream.
+    Chunk(Vec<u8>),
+    /// A whole response.
+    Whole(WholeResponse),
 }
 
-/// An answer in one piece.
+/// A response in one piece.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WholeAnswer {
+pub struct WholeResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, if one was given.
     pub content_type: Option<String>,
-    /// All headers that go through, where the answer is relayed.
+    /// Headers to forward to the caller; used only if the response is relayed.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Takes what an attempt passes on.
-pub trait AnswerSink {
-    /// Passes on a part; waits while the caller is slow.
-    fn pass(&self, part: AnswerPart) -> impl Future<Output = ()> + Send;
+/// Receives the response parts and signals of an attempt.
+pub trait ResponseSink {
+    /// Passes on a part; waits while the caller reads slowly.
+    fn pass(&self, part: ResponsePart) -> impl Future<Output = ()> + Send;
 
-    /// Passes on what the head of the answer states about the upstream.
+    /// Reports what the upstream states about itself in its response headers.
     fn on_signal(&self, signal: UpstreamSignal);
 }
 
-/// Makes the attempt.
+/// Sends the request to the upstream of the attempt and passes its response to the sink.
+/// Returns how the attempt ended.
 pub async fn run(
     client: &Client,
     attempt: &Attempt,
     request: &OutgoingRequest,
-    sink: &impl AnswerSink,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
     if let Some(relay) = &request.relay {
         return relay::run(client, attempt, request, relay, sink).await;
     }
-    let conn = match build(client, attempt, request).await {
+    let conn = match build_request(client, attempt, request).await {
         Ok(conn) => conn,
         Err(error) if is_not_connected(&error) => return AttemptEnd::NotSent,
         Err(_) => return AttemptEnd::Lost,
@@ -115,27 +116,29 @@
     };
     let headers = conn.response_headers();
     let echoed = headers.get_str(ATTEMPT_HEADER);
-    let is_wrong = match request.answer {
-        AnswerForm::Whole | AnswerForm::Stream => echoed != Some(attempt.id.to_string().as_str()),
-        // Plain services need not know the header.
-        AnswerForm::Service => echoed.is_some_and(|echoed| echoed != attempt.id.to_string()),
+    let has_wrong_id = match request.response_mode {
+        ResponseMode::Whole | ResponseMode::Stream => {
+            echoed != Some(attempt.id.to_string().as_str())
+        }
+        // Plain services are not required to echo the header.
+        ResponseMode::Service => echoed.is_some_and(|echoed| echoed != attempt.id.to_string()),
     };
-    if is_wrong {
+    if has_wrong_id {
         return AttemptEnd::WrongAnswer;
     }
     let is_success = (200..300).contains(&status);
-    sink.on_signal(signal::read(&conn, status, SIGNAL_NAMES));
-    let is_engine = request.answer != AnswerForm::Service;
+    sink.on_signal(signal::read(&conn, status, SIGNAL_HEADER_NAMES));
+    let is_engine = request.response_mode != ResponseMode::Service;
     if is_engine && headers.get_str(NOT_RUN_HEADER).is_some() {
         return AttemptEnd::Refused;
     }
-    if request.answer == AnswerForm::Stream && is_success {
+    if request.response_mode == ResponseMode::Stream && is_success {
         return read_stream(conn, sink).await;
     }
     read_whole(conn, status, is_engine, sink).await
 }
 
-fn build(client: &Client, attempt: &Attempt, request: &OutgoingRequest) -> Conn {
+fn build_request(client: &Client, attempt: &Attempt, request: &OutgoingRequest) -> Conn {
     let mut conn = client
         .build_conn(request.method, url(attempt.address, &request.path))
         .with_body(request.body.to_vec());
@@ -157,13 +160,13 @@
     mut conn: Conn,
     status: u16,
     is_engine: bool,
-    sink: &impl AnswerSink,
+    sink: &impl ResponseSink,
 ) -> AttemptEnd {
     let content_type = conn
         .response_headers()
         .get_str("content-type")
         .map(str::to_owned);
-    let body = conn.response_body().with_max_len(MAX_WHOLE_ANSWER);
+    let body = conn.response_body().with_max_len(MAX_RESPONSE_BYTES);
     let Ok(body) = body.read_bytes().await else {
         return AttemptEnd::Lost;
     };
@@ -175,13 +178,13 @@
         };
         output_tokens = tokens;
     }
-    let answer = WholeAnswer {
+    let response = WholeResponse {
         status,
         content_type,
         headers: Vec::new(),
         body,
     };
-    sink.pass(AnswerPart::Whole(answer)).await;
+    sink.pass(ResponsePart::Whole(response)).await;
     if is_success || (!is_engine && status < 500) {
         AttemptEnd::Completed { output_tokens }
     } else {
@@ -189,7 +192,7 @@
     }
 }
 
-/// Tokens of a whole answer; `None` if it is not one of a model.
+/// Number of output tokens of a whole response, or `None` if the body is not a model's response.
 fn completion_tokens(body: &[u8]) -> Option<u32> {
     let value: serde_json::Value = serde_json::from_slice(body).ok()?;
     value.get("choices")?;
@@ -197,27 +200,27 @@
     u32::try_from(tokens).ok()
 }
 
-/// Passes on a stream of events; it is whole only if its end mark came.
-async fn read_stream(mut conn: Conn, sink: &impl AnswerSink) -> AttemptEnd {
+/// Passes on a stream of events. The stream is complete only if the end marker arrived.
+async fn read_stream(mut conn: Conn, sink: &impl ResponseSink) -> AttemptEnd {
     let Some(mut body) = conn.take_response_body() else {
         return AttemptEnd::Lost;
     };
     let mut events = EventCounter::default();
-    let mut has_begun = false;
+    let mut has_started = false;
     loop {
-        let Some(mut piece) = read_piece(&mut body).await else {
+        let Some(mut chunk) = read_chunk(&mut body).await else {
             return AttemptEnd::Lost;
         };
-        if piece.is_empty() {
+        if chunk.is_empty() {
             break;
         }
-        let own = events.feed(&piece);
-        piece.truncate(own);
-        if !has_begun {
-            has_begun = true;
-            sink.pass(AnswerPart::StreamBegins).await;
+        let length = events.feed(&chunk);
+        chunk.truncate(length);
+        if !has_started {
+            has_started = true;
+            sink.pass(ResponsePart::StreamStart).await;
         }
-        sink.pass(AnswerPart::Piece(piece)).await;
+        sink.pass(ResponsePart::Chunk(chunk)).await;
         if events.has_ended {
             break;
         }
@@ -231,15 +234,15 @@
     }
 }
 
-/// The next piece; empty at the end, `None` if the stream broke.
-async fn read_piece(body: &mut ResponseBody<'static>) -> Option<Vec<u8>> {
-    let mut piece = vec![0; READ_SIZE];
-    let length = body.read(&mut piece).await.ok()?;
-    piece.truncate(length);
-    Some(piece)
+/// Reads the next chunk: empty at the end, `None` if the connection failed.
+async fn read_chunk(body: &mut ResponseBody<'static>) -> Option<Vec<u8>> {
+    let mut chunk = vec![0; READ_SIZE];
+    let length = body.read(&mut chunk).await.ok()?;
+    chunk.truncate(length);
+    Some(chunk)
 }
 
-/// Counts events of a stream, whose lines may be cut anywhere.
+/// Counts the events of a stream. Chunks may split lines at any byte.
 #[derive(Debug, Default)]
 struct EventCounter {
     line: Vec<u8>,
@@ -248,26 +251,26 @@
 }
 
 impl EventCounter {
-    /// Takes in a piece; says how much of it belongs to the answer, as nothing
-    /// does after the empty line that follows the end mark.
-    fn feed(&mut self, piece: &[u8]) -> usize {
-        for (index, byte) in piece.iter().enumerate() {
+    /// Processes a chunk and returns how many of its bytes belong to the response, which ends
+    /// with the empty line after the end marker.
+    fn feed(&mut self, chunk: &[u8]) -> usize {
+        for (index, byte) in chunk.iter().enumerate() {
             if *byte != b'\n' {
                 self.line.push(*byte);
                 continue;
             }
             self.end_line();
             if self.has_ended {
-                let has_empty_line = piece.get(index + 1) == Some(&b'\n');
+                let has_empty_line = chunk.get(index + 1) == Some(&b'\n');
                 return index + 1 + usize::from(has_empty_line);
             }
         }
-        piece.len()
+        chunk.len()
     }
 
     fn end_line(&mut self) {
         let line = std::mem::take(&mut self.line);
-        if line.starts_with(STREAM_END) {
+        if line.starts_with(STREAM_END_MARKER) {
             self.has_ended = true;
         } else if line.starts_with(b"data:") {
             self.tokens += 1;
--- a/shalehinge/tests/http_client.rs
+++ b/shalehinge/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! What a call to another process leaves behind when it is given up.
+//! Reuse and closing of HTTP client connections after complete and abandoned responses.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,64 +7,69 @@
 
 use shalehinge::utils::http::{exchange, pooled_client, url};
 
-/// More than a piece, and less than a client takes in whole.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-const PIECE: usize = 64 * 1024;
+/// Larger than one chunk, but small enough that a client would accept the whole response.
+const RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 fn read_request(stream: &mut TcpStream) {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut byte).expect("a request");
+        stream.read_exact(&mut byte).expect("can read the request");
         head.push(byte[0]);
     }
 }
 
-/// Sends the first piece of a long answer, and once the caller gave it up the rest, as long as
-/// somebody takes it; returns the bytes that were taken.
-fn answer_at_length(listener: &TcpListener, given_up: &Receiver<()>) -> usize {
-    let (mut stream, _) = listener.accept().expect("a caller");
+/// Sends the first chunk of a long response. After the client has abandoned the response, sends
+/// the rest until the connection fails. Returns the number of bytes sent.
+fn send_long_response(listener: &TcpListener, abandoned: &Receiver<()>) -> usize {
+    let (mut stream, _) = listener.accept().expect("can accept a connection");
     read_request(&mut stream);
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {ANSWER_BYTES}\r\n\r\n");
-    stream.write_all(head.as_bytes()).expect("a head");
-    let piece = [b'x'; PIECE];
-    stream.write_all(&piece).expect("a piece");
-    given_up.recv().expect("given up");
-    let mut sent = PIECE;
-    while sent < ANSWER_BYTES && stream.write_all(&piece).is_ok() {
-        sent += PIECE;
-        // Leaves a closed connection the time to show.
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {RESPONSE_BYTES}\r\n\r\n");
+    stream
+        .write_all(head.as_bytes())
+        .expect("can send the head");
+    let chunk = [b'x'; CHUNK_BYTES];
+    stream.write_all(&chunk).expect("can send the first chunk");
+    abandoned.recv().expect("the client abandons the response");
+    let mut sent = CHUNK_BYTES;
+    while sent < RESPONSE_BYTES && stream.write_all(&chunk).is_ok() {
+        sent += CHUNK_BYTES;
+        // Gives a closed connection time to be detected.
         std::thread::sleep(Duration::from_millis(5));
     }
     sent
 }
 
-/// A daemon that is behind gives up answers that take too long. What is left of them must not
-/// go on filling its link: the library would else read each to its end, to use the connection
-/// again.
+/// A daemon that lags behind abandons responses that take too long. The rest of them must not
+/// keep filling its link: the HTTP library would read each to its end in order to reuse the
+/// connection.
 #[test]
-fn an_answer_that_is_given_up_is_not_read_on() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let (give_up, given_up) = mpsc::channel();
-    let server = std::thread::spawn(move || answer_at_length(&listener, &given_up));
+fn an_abandoned_response_is_not_read_to_its_end() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
+    let address = listener.local_addr().expect("has a local address");
+    let (abandon, abandoned) = mpsc::channel();
+    let server = std::thread::spawn(move || send_long_response(&listener, &abandoned));
     let client = pooled_client();
-    let answer = smol::block_on(exchange(
+    let response = smol::block_on(exchange(
         client.get(url(address, "/long")),
         Duration::from_millis(100),
     ));
-    assert_eq!(answer, None);
-    give_up.send(()).expect("waits");
-    let sent = server.join().expect("ends");
-    assert!(sent < ANSWER_BYTES, "all of it was read");
+    assert_eq!(response, None);
+    abandon.send(()).expect("the server is waiting");
+    let sent = server.join().expect("the server thread succeeds");
+    assert!(
+        sent < RESPONSE_BYTES,
+        "the client read the whole abandoned response"
+    );
 }
 
-/// Answers so many requests on one connection; returns how many came on it.
-fn answer_on_one_connection(listener: &TcpListener, requests: usize) -> usize {
-    let (mut stream, _) = listener.accept().expect("a caller");
+/// Answers up to `requests` requests on one connection; returns how many arrived on it.
+fn serve_one_connection(listener: &TcpListener, requests: usize) -> usize {
+    let (mut stream, _) = listener.accept().expect("can accept a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
-        .expect("set");
+        .expect("can set a read time-out");
     let mut answered = 0;
     while answered < requests {
         let mut head = Vec::new();
@@ -77,22 +82,22 @@
         }
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            .expect("an answer");
+            .expect("can send the response");
         answered += 1;
     }
     answered
 }
 
 #[test]
-fn a_connection_whose_answer_was_read_whole_is_used_again() {
+fn a_connection_is_reused_after_a_complete_response() {
     const REQUESTS: usize = 3;
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let server = std::thread::spawn(move || answer_on_one_connection(&listener, REQUESTS));
+    let listener = TcpListener::bind("127.0.0.1:0").expect("can bind a port");
+    let address = listener.local_addr().expect("has a local address");
+    let server = std::thread::spawn(move || serve_one_connection(&listener, REQUESTS));
     let client = pooled_client();
     for _ in 0..REQUESTS {
         let call = exchange(client.get(url(address, "/short")), Duration::from_secs(2));
         smol::block_on(call);
     }
-    assert_eq!(server.join().expect("ends"), REQUESTS);
+    assert_eq!(server.join().expect("the server thread succeeds"), REQUESTS);
 }
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -1,7 +1,8 @@
-//! Daemons as processes of their own, before stand-ins in this one.
+//! Runs daemons as separate processes against stand-ins for the platform, engines and services
+//! in the test process.
 //!
-//! Nothing is waited for by time: a condition is polled, with a generous bound.
-//! Every process that was started is ended by its id, also when a test fails.
+//! Tests poll for conditions, with a generous time-out, instead of sleeping for fixed times.
+//! Every daemon process is killed when its handle is dropped, also when a test fails.
 
 #![allow(dead_code)]
 
@@ -21,14 +22,17 @@
 use standin::engine::EngineArguments;
 use standin::engine::faults::EngineFault;
 use standin::engine::server::{RunningEngine, spawn as spawn_engines};
-use standin::platform::store::Fault;
+use standin::platform::store::PlatformFault;
 use standin::service::{ServiceArguments, ServiceFault};
 
-const TOKEN: &str = "token";
-pub const KEY: &str = "key";
-const BOUND: Duration = Duration::from_secs(120);
+/// The operators' token.
+const OPERATOR_TOKEN: &str = "token";
+/// API key of the customer `c` in the test configuration.
+pub const API_KEY: &str = "key";
+/// Time-out of each wait and read. It is generous, as the machine may be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
-fn any_port() -> SocketAddr {
+fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -37,27 +41,38 @@
     hex(&sha2::Sha256::digest(text.as_bytes()))
 }
 
-/// Polls until the condition gives something.
-pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + BOUND;
+/// Polls until the condition returns a value.
+///
+/// # Panics
+///
+/// Panics with `condition_name` if the condition returns no value within the time-out.
+pub fn wait_for<T>(condition_name: &str, mut condition: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = condition() {
             return value;
         }
-        assert!(Instant::now() < end, "waited too long: {what}");
+        assert!(
+            Instant::now() < end,
+            "timed out waiting until {condition_name}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An answer over HTTP/1.1, read to the end of the connection.
+/// An HTTP/1.1 response, read until the connection is closed.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
+    /// HTTP status; 0 if the status line can't be parsed.
     pub status: u16,
+    /// Status line and headers.
     pub head: String,
+    /// Everything after the headers, without decoding of chunked bodies.
     pub body: String,
 }
 
-impl Answer {
+impl Response {
+    /// Value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -66,30 +81,33 @@
     }
 }
 
-/// Sends bytes as they are and reads what comes back.
-pub fn send_raw(to: SocketAddr, bytes: &[u8]) -> Answer {
-    let mut stream = TcpStream::connect(to).expect("connects");
-    stream.set_read_timeout(Some(BOUND)).expect("a timeout");
-    stream.write_all(bytes).expect("sends");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer);
-    let text = String::from_utf8_lossy(&answer).into_owned();
+/// Sends raw bytes and reads the response.
+pub fn send_raw_request(to: SocketAddr, bytes: &[u8]) -> Response {
+    let mut stream = TcpStream::connect(to).expect("can connect");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("can set a read time-out");
+    stream.write_all(bytes).expect("can send the request");
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    let text = String::from_utf8_lossy(&response).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
     let status = head.split(' ').nth(1).and_then(|text| text.parse().ok());
-    Answer {
+    Response {
         status: status.unwrap_or(0),
         head: head.to_owned(),
         body: body.to_owned(),
     }
 }
 
-pub fn exchange(
+/// Sends a request and reads the response.
+pub fn send_request(
     to: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
-) -> Answer {
+) -> Response {
     let mut request = format!(
         "{method} {path} HTTP/1.1\r\nHost: test\r\nConnection: close\r\nContent-Length: {}\r\n",
         body.len()
@@ -99,78 +117,95 @@
     }
     request.push_str("\r\n");
     request.push_str(body);
-    send_raw(to, request.as_bytes())
+    send_raw_request(to, request.as_bytes())
 }
 
-pub fn chat_body(max_tokens: u32, stream: bool) -> String {
+/// Body of a chat completion request for the model `m`.
+pub fn chat_request_body(max_tokens: u32, stream: bool) -> String {
     format!(
         r#"{{"model": "m", "max_tokens": {max_tokens}, "stream": {stream}, "messages": [{{"role": "user", "content": "dial"}}]}}"#
     )
 }
 
-/// Sends a chat request, and again when it was told to come back: on a busy
-/// machine a report may be late, and its replica is out of routing until the next.
-pub fn chat(to: SocketAddr, headers: &[(&str, &str)], body: &str) -> Answer {
-    let bearer = format!("Bearer {KEY}");
-    let mut all = vec![("Authorization", bearer.as_str())];
+/// Sends a chat request and retries while no replica is available: on a busy machine a status
+/// report may be late, which takes the replica out of routing until the next one.
+pub fn send_chat(to: SocketAddr, headers: &[(&str, &str)], body: &str) -> Response {
+    let authorization = format!("Bearer {API_KEY}");
+    let mut all = vec![("Authorization", authorization.as_str())];
     all.extend_from_slice(headers);
     wait_for("a replica is in routing", || {
-        let answer = exchange(to, "POST", "/v1/chat/completions", &all, body);
-        let is_for_later = answer.status == 503 && answer.body.contains("no_upstream");
-        (!is_for_later).then_some(answer)
+        let response = send_request(to, "POST", "/v1/chat/completions", &all, body);
+        let is_retryable = response.status == 503 && response.body.contains("no_upstream");
+        (!is_retryable).then_some(response)
     })
 }
 
-/// A daemon's process.
+/// A running daemon process; killed on drop.
 pub struct DaemonProcess {
     child: Child,
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
+    /// Address of the listener for peers.
     pub peers: SocketAddr,
-    pub log: PathBuf,
+    /// Path of the log file.
+    pub log_path: PathBuf,
 }
 
 impl DaemonProcess {
-    pub fn signal(&self, name: &str) {
+    /// Sends a signal, named as an option of `kill`, such as `-TERM`.
+    pub fn send_signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([name, &id]).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("can run kill").success());
     }
 
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
-        self.child.kill().expect("killed");
-        self.child.wait().expect("ended");
+        self.child.kill().expect("can kill the daemon");
+        self.child.wait().expect("can wait for the daemon");
     }
 
+    /// Waits for the process to end.
     pub fn wait(&mut self) -> std::process::ExitStatus {
-        wait_for("the daemon ends", || self.child.try_wait().expect("waits"))
+        wait_for("the daemon ends", || {
+            self.child.try_wait().expect("can wait for the daemon")
+        })
     }
 
+    /// The log so far; empty if there is none.
     pub fn log_text(&self) -> String {
-        std::fs::read_to_string(&self.log).unwrap_or_default()
+        std::fs::read_to_string(&self.log_path).unwrap_or_default()
     }
 
+    /// The fleet's status by the operator API, or `None` if the response can't be parsed.
     pub fn status(&self) -> Option<FleetStatus> {
-        let answer = self.operate("GET", "/v1/status", "");
-        serde_json::from_str(&answer.body).ok()
+        let response = self.send_operator_request("GET", "/v1/status", "");
+        serde_json::from_str(&response.body).ok()
     }
 
-    pub fn eligible(&self) -> usize {
+    /// Number of replicas that are in routing at this daemon.
+    pub fn eligible_replicas(&self) -> usize {
         let status = self.status();
         let models = status.map(|status| status.models).unwrap_or_default();
         models.iter().map(|model| model.eligible_here).sum()
     }
 
-    pub fn operate(&self, method: &str, path: &str, body: &str) -> Answer {
-        let bearer = format!("Bearer {TOKEN}");
-        let headers = [("Authorization", bearer.as_str())];
-        exchange(self.operators, method, path, &headers, body)
+    /// Sends a request to the operator API.
+    pub fn send_operator_request(&self, method: &str, path: &str, body: &str) -> Response {
+        let authorization = format!("Bearer {OPERATOR_TOKEN}");
+        let headers = [("Authorization", authorization.as_str())];
+        send_request(self.operators, method, path, &headers, body)
     }
 
-    pub fn change(&self, change: &Change, operation: u64) -> OperatorAnswer {
-        let body = serde_json::to_string(change).expect("JSON");
-        let answer = self.operate("POST", "/v1/plan", &body);
-        let planned: OperatorAnswer = serde_json::from_str(&answer.body).expect("an answer");
+    /// Plans a change and confirms the plan under the given operation id. Returns the answer to
+    /// the confirmation, or the answer to the plan if that was rejected.
+    pub fn apply_change(&self, change: &Change, operation: u64) -> OperatorAnswer {
+        let body = serde_json::to_string(change).expect("valid JSON");
+        let response = self.send_operator_request("POST", "/v1/plan", &body);
+        let planned: OperatorAnswer =
+            serde_json::from_str(&response.body).expect("an operator answer");
         let OperatorAnswer::Planned(plan) = planned else {
             return planned;
         };
@@ -180,9 +215,9 @@
             digest: plan.digest,
             operation: OperationId(operation),
         };
-        let body = serde_json::to_string(&confirm).expect("JSON");
-        let answer = self.operate("POST", "/v1/confirm", &body);
-        serde_json::from_str(&answer.body).expect("an answer")
+        let body = serde_json::to_string(&confirm).expect("valid JSON");
+        let response = self.send_operator_request("POST", "/v1/confirm", &body);
+        serde_json::from_str(&response.body).expect("an operator answer")
     }
 }
 
@@ -193,22 +228,27 @@
     }
 }
 
-/// Stand-ins in this process, and a folder for files.
+/// Stand-ins in the test process, and a directory for settings and logs of daemons.
 pub struct Fleet {
+    /// Address of the stand-in platform.
     pub platform: SocketAddr,
+    /// The stand-in engines, one per host.
     pub engines: Vec<RunningEngine>,
+    /// Address of the stand-in for a plain service.
     pub service: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     next_daemon: u32,
 }
 
 impl Fleet {
-    /// A failure domain of so many hosts, without daemons yet.
+    /// Starts a failure domain with the given number of hosts and no daemons. `name` distinguishes
+    /// the directories of the tests.
     pub fn new(name: &str, hosts: u32) -> Self {
-        let (platform, _) = standin::platform::spawn(any_port()).expect("a platform");
+        let (platform, _) =
+            standin::platform::spawn(loopback_any_port()).expect("can start the platform");
         let engines = spawn_engines(&EngineArguments {
             host: "h".into(),
-            listen: any_port(),
+            listen: loopback_any_port(),
             failure_domain: "d".into(),
             fabric_domain: "f".into(),
             accelerators: 8,
@@ -221,27 +261,28 @@
             sequence_us: 400,
         });
         let service = ServiceArguments {
-            listen: any_port(),
+            listen: loopback_any_port(),
             delay_ms: 1,
         };
-        let (service, _) = standin::service::spawn(&service).expect("a service");
-        let folder = std::env::temp_dir().join(format!("shalehinge-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        let (service, _) = standin::service::spawn(&service).expect("can start the service");
+        let directory =
+            std::env::temp_dir().join(format!("shalehinge-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("can create the directory");
         Self {
             platform,
-            engines: engines.expect("engines"),
+            engines: engines.expect("can start the engines"),
             service,
-            folder,
+            directory,
             next_daemon: 0,
         }
     }
 
-    /// Starts a daemon that asks these peers first.
-    pub fn daemon(&mut self, seeds: &[SocketAddr]) -> DaemonProcess {
+    /// Starts a daemon with the given peers as seeds and waits until it listens.
+    pub fn start_daemon(&mut self, seeds: &[SocketAddr]) -> DaemonProcess {
         let number = self.next_daemon;
         self.next_daemon += 1;
         let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
-        let log = self.folder.join(format!("entry-{number}.log"));
+        let log = self.directory.join(format!("entry-{number}.log"));
         let settings = format!(
             "[daemon]\nname = entry-{number}\nfailure_domain = d\nseeds = {}\n\
              [listen]\ncallers = 127.0.0.1:0\noperators = 127.0.0.1:0\npeers = 127.0.0.1:0\n\
@@ -249,35 +290,36 @@
              [limits]\nmax_body_bytes = 20000\nbody_timeout = 1s\n[log]\nfile = {}\n",
             seeds.join(", "),
             self.platform,
-            sha256(TOKEN),
+            sha256(OPERATOR_TOKEN),
             log.display()
         );
-        let path = self.folder.join(format!("entry-{number}.ini"));
-        std::fs::write(&path, settings).expect("settings written");
+        let path = self.directory.join(format!("entry-{number}.ini"));
+        std::fs::write(&path, settings).expect("can write the settings");
         let child = Command::new(env!("CARGO_BIN_EXE_shalehinged"))
             .arg(&path)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the daemon starts");
-        let addresses = wait_for("the daemon listens", || listens_on(&log));
+            .expect("can start the daemon");
+        let addresses = wait_for("the daemon listens", || listen_addresses(&log));
         let [callers, operators, peers] = addresses;
         DaemonProcess {
             child,
             callers,
             operators,
             peers,
-            log,
+            log_path: log,
         }
     }
 
-    /// A daemon, a customer, a plain service, and one replica of two hosts.
-    pub fn serving(&mut self) -> DaemonProcess {
-        let daemon = self.daemon(&[]);
+    /// Starts a daemon, configures a customer, a plain service and one replica of two hosts, and
+    /// waits until the replica is in routing.
+    pub fn start_serving_daemon(&mut self) -> DaemonProcess {
+        let daemon = self.start_daemon(&[]);
         wait_for("the daemon answers operators", || daemon.status());
         self.configure(&daemon);
         wait_for("the replica is in routing", || {
-            (daemon.eligible() == 1).then_some(())
+            (daemon.eligible_replicas() == 1).then_some(())
         });
         daemon
     }
@@ -285,7 +327,7 @@
     fn configure(&self, daemon: &DaemonProcess) {
         let mut configuration = Configuration::default();
         let customer = CustomerConfig {
-            key_sha256: vec![sha256(KEY)],
+            key_sha256: vec![sha256(API_KEY)],
             share: 1,
             rank: None,
         };
@@ -307,10 +349,10 @@
             .services
             .insert(ServiceName::new("rutas-app"), service);
         let configure = Change::Configure(Box::new(configuration));
-        let answer = daemon.change(&configure, 1);
+        let response = daemon.apply_change(&configure, 1);
         assert!(
-            matches!(answer, OperatorAnswer::Confirmed { .. }),
-            "{answer:?}"
+            matches!(response, OperatorAnswer::Confirmed { .. }),
+            "{response:?}"
         );
         let intent = Change::Intent {
             model: ModelName::new("m"),
@@ -319,64 +361,70 @@
             hosts_per_replica: 2,
             owner: Customer::new("c"),
         };
-        let answer = daemon.change(&intent, 2);
+        let response = daemon.apply_change(&intent, 2);
         assert!(
-            matches!(answer, OperatorAnswer::Confirmed { .. }),
-            "{answer:?}"
+            matches!(response, OperatorAnswer::Confirmed { .. }),
+            "{response:?}"
         );
     }
 
-    pub fn platform_fault(&self, fault: Fault) {
-        let body = serde_json::to_string(&fault).expect("JSON");
-        let answer = exchange(self.platform, "PUT", "/admin/fault", &[], &body);
-        assert_eq!(answer.status, 204);
+    /// Sets the fault of the platform.
+    pub fn set_platform_fault(&self, fault: PlatformFault) {
+        let body = serde_json::to_string(&fault).expect("valid JSON");
+        let response = send_request(self.platform, "PUT", "/admin/fault", &[], &body);
+        assert_eq!(response.status, 204);
     }
 
-    /// The platform copies all that it keeps, or is restored from its copy.
-    fn platform_admin(&self, what: &str) {
-        let path = format!("/admin/{what}");
-        let answer = exchange(self.platform, "PUT", &path, &[], "");
-        assert_eq!(answer.status, 204);
+    /// Calls an admin operation of the platform: `copy` takes a backup, `restore` restores it.
+    fn platform_admin(&self, operation: &str) {
+        let path = format!("/admin/{operation}");
+        let response = send_request(self.platform, "PUT", &path, &[], "");
+        assert_eq!(response.status, 204);
     }
 
-    pub fn copy_platform(&self) {
+    /// Takes a backup of the platform's store.
+    pub fn back_up_platform(&self) {
         self.platform_admin("copy");
     }
 
-    /// What the platform took since its copy is lost, and versions are given out anew.
+    /// Restores the platform's store from its backup. Writes since the backup are lost, and their
+    /// versions are assigned again.
     pub fn restore_platform(&self) {
         self.platform_admin("restore");
     }
 
-    pub fn engine_fault(&self, fault: EngineFault) {
-        let body = serde_json::to_string(&fault).expect("JSON");
+    /// Sets the fault of all engines.
+    pub fn set_engine_fault(&self, fault: EngineFault) {
+        let body = serde_json::to_string(&fault).expect("valid JSON");
         for engine in &self.engines {
-            let answer = exchange(engine.address, "PUT", "/admin/fault", &[], &body);
-            assert_eq!(answer.status, 204);
+            let response = send_request(engine.address, "PUT", "/admin/fault", &[], &body);
+            assert_eq!(response.status, 204);
         }
     }
 
-    pub fn service_fault(&self, fault: &ServiceFault) {
-        let body = serde_json::to_string(fault).expect("JSON");
-        let answer = exchange(self.service, "PUT", "/admin/fault", &[], &body);
-        assert_eq!(answer.status, 204);
+    /// Sets the fault of the plain service.
+    pub fn set_service_fault(&self, fault: &ServiceFault) {
+        let body = serde_json::to_string(fault).expect("valid JSON");
+        let response = send_request(self.service, "PUT", "/admin/fault", &[], &body);
+        assert_eq!(response.status, 204);
     }
 
-    /// How often the plain service was called with a key.
+    /// Number of calls that the plain service received with a key.
     pub fn service_calls(&self, key: &str) -> u64 {
-        let answer = exchange(self.service, "GET", "/admin/calls", &[], "");
-        let calls: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
+        let response = send_request(self.service, "GET", "/admin/calls", &[], "");
+        let calls: serde_json::Value = serde_json::from_str(&response.body).expect("valid JSON");
         calls[key].as_u64().unwrap_or(0)
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-fn listens_on(log: &PathBuf) -> Option<[SocketAddr; 3]> {
+/// Reads the addresses for callers, operators and peers from the log, once the daemon listens.
+fn listen_addresses(log: &PathBuf) -> Option<[SocketAddr; 3]> {
     let text = std::fs::read_to_string(log).ok()?;
     let line = text
         .lines()
--- a/shalehinge/tests/support/engines.rs
+++ b/shalehinge/tests/support/engines.rs
@@ -1,4 +1,4 @@
-//! Hosts in memory, with the engine state of the stand-in.
+//! Simulated hosts with the engine state of the stand-in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,18 +9,19 @@
 use standin::engine::model::EngineParameters;
 use standin::engine::state::HostEngine;
 
-/// A host and its engine.
+/// A simulated host and its engine.
 pub struct FakeHost {
     pub id: HostId,
     pub address: SocketAddr,
     pub domain: FailureDomain,
+    /// Whether it is up, possibly frozen.
     pub is_alive: bool,
     pub is_frozen: bool,
     pub engine: HostEngine,
-    /// When the load that runs will be done.
-    pub loads_until: Option<(u64, Duration)>,
-    /// Attempts that run, and when each will be done.
-    pub running: BTreeMap<AttemptId, Duration>,
+    /// Number of the load in progress, and when it finishes.
+    pub pending_load: Option<(u64, Duration)>,
+    /// Running attempts, and when each finishes.
+    pub running_attempts: BTreeMap<AttemptId, Duration>,
 }
 
 impl FakeHost {
@@ -32,28 +33,29 @@
             is_alive: true,
             is_frozen: false,
             engine: HostEngine::new(id.clone(), checks_fences, EngineParameters::default()),
-            loads_until: None,
-            running: BTreeMap::new(),
+            pending_load: None,
+            running_attempts: BTreeMap::new(),
             id,
         }
     }
 
-    pub fn runs(&self) -> bool {
+    /// Whether the host is neither down nor frozen.
+    pub fn is_running(&self) -> bool {
         self.is_alive && !self.is_frozen
     }
 
-    /// Everything in memory is gone.
+    /// Takes the host down; its state is lost.
     pub fn kill(&mut self) {
         let checks_fences = self.engine.checks_fences;
         let parameters = EngineParameters::default();
         self.is_alive = false;
         self.is_frozen = false;
         self.engine = HostEngine::new(self.id.clone(), checks_fences, parameters);
-        self.loads_until = None;
-        self.running.clear();
+        self.pending_load = None;
+        self.running_attempts.clear();
     }
 
-    /// Whether it is a ready member of the group.
+    /// Whether the host is a running, ready member of the group.
     pub fn is_ready_in(&self, group: GroupNumber) -> bool {
         let in_group = self
             .engine
@@ -64,6 +66,6 @@
             self.engine.phase,
             EnginePhase::Ready | EnginePhase::Draining
         );
-        self.runs() && in_group && is_ready
+        self.is_running() && in_group && is_ready
     }
 }
--- a/shalehinge/tests/support/fabric.rs
+++ b/shalehinge/tests/support/host_messages.rs
@@ -1,4 +1,4 @@
-//! The hosts' side of the world: status, orders, attempts, and what ends them.
+//! How simulated hosts handle messages: status requests, orders and attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,32 +12,35 @@
 use standin::engine::model::SequenceSpec;
 use standin::engine::state::Followup;
 
-use super::oracle::members_of;
+use super::oracle::group_members;
 use super::world::{CALL_TIMEOUT, Delivery, STEP, World};
 
 /// A message to a host.
 pub enum HostMessage {
+    /// Asks for the engine's status.
     Status {
         purpose: StatusPurpose,
         asked_at: Timestamp,
     },
-    Order {
-        order: Order,
-        asked_at: Timestamp,
-    },
+    /// Gives the engine an order.
+    Order { order: Order, asked_at: Timestamp },
+    /// Runs a request.
     Attempt(Attempt),
 }
 
-/// A request that runs at a host.
-pub struct Executing {
+/// An attempt that is running at a host.
+pub struct Execution {
     pub entry: usize,
+    /// Run of the daemon that sent it; the end is dropped if it has been restarted.
     pub run: u64,
     pub host: usize,
     pub attempt: Attempt,
+    /// When it finishes.
     pub until: Duration,
 }
 
 impl World {
+    /// Schedules a message to the host at an address; dropped if there is none.
     pub fn send_to_host(
         &mut self,
         entry: usize,
@@ -55,13 +58,14 @@
             host,
             message,
         };
-        self.send_in(delay, delivery);
+        self.schedule_delivery(delay, delivery);
     }
 
-    pub fn at_host(&mut self, entry: usize, run: u64, host: usize, message: HostMessage) {
+    /// Handles a message that arrives at a host.
+    pub fn handle_at_host(&mut self, entry: usize, run: u64, host: usize, message: HostMessage) {
         let is_reached = self.hosts[host].is_alive && {
             let domain = self.hosts[host].domain.clone();
-            self.reaches(entry, &domain)
+            self.can_reach(entry, &domain)
         };
         let answers = is_reached && !self.hosts[host].is_frozen;
         match message {
@@ -77,7 +81,7 @@
                 self.send_to_entry(delay, entry, run, event);
             }
             HostMessage::Order { order, asked_at } => {
-                let reply = answers.then(|| self.take_order(host, order.clone()));
+                let reply = answers.then(|| self.handle_order(host, order.clone()));
                 let delay = self.reply_delay(answers);
                 let event = Event::OrderAnswered {
                     host: self.hosts[host].id.clone(),
@@ -88,7 +92,7 @@
                 self.send_to_entry(delay, entry, run, event);
             }
             HostMessage::Attempt(attempt) => {
-                self.take_attempt(entry, run, host, attempt, is_reached, answers);
+                self.handle_attempt(entry, run, host, attempt, is_reached, answers);
             }
         }
     }
@@ -97,31 +101,31 @@
         if answers { self.delay() } else { CALL_TIMEOUT }
     }
 
-    fn take_order(&mut self, host: usize, order: Order) -> OrderReply {
+    fn handle_order(&mut self, host: usize, order: Order) -> OrderReply {
         self.check_order(host, &order);
         let now = self.now;
-        let (reply, followup) = self.hosts[host].engine.take_order(now, order);
+        let (reply, followup) = self.hosts[host].engine.handle_order(now, order);
         if let Followup::Load { number, warm } = followup {
             let time = Duration::from_millis(if warm { 100 } else { 800 });
-            self.hosts[host].loads_until = Some((number, now + time));
+            self.hosts[host].pending_load = Some((number, now + time));
         }
-        self.lose_broken(host);
+        self.end_aborted_attempts(host);
         reply
     }
 
-    /// A host is never ordered into a group while it is in another, and a
-    /// planned retirement breaks off nothing.
+    /// Checks that a host is never ordered into a group while it is in another, and that retiring
+    /// a group aborts no requests.
     fn check_order(&mut self, host: usize, order: &Order) {
         let engine = &self.hosts[host].engine;
         let current = engine.membership.as_ref().map(|m| m.group);
         let other = current.filter(|group| *group != order.group);
         let is_load = matches!(order.command, Command::Load(_));
-        // An order into an older group is refused by the fence.
+        // A host that checks fencing tokens rejects an order into an older group.
         let other = other.filter(|other| is_load && *other < order.group && engine.checks_fences);
         if let Some(other) = other {
             let id = &self.hosts[host].id;
             let text = format!("host {id} of {other:?} was ordered into {:?}", order.group);
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
         if order.command != (Command::Release { drain: false }) {
             return;
@@ -138,19 +142,20 @@
             return;
         };
         let rank_zero = group.members.first().map(|member| member.host.clone());
-        let runs_there = self.hosts.iter().any(|host| {
+        let has_running_requests = self.hosts.iter().any(|host| {
             Some(&host.id) == rank_zero.as_ref()
-                && !host.running.is_empty()
+                && !host.running_attempts.is_empty()
                 && host.is_ready_in(order.group)
         });
-        if runs_there {
-            let text = format!("retiring {:?} broke off requests", order.group);
-            self.oracle.violation(text);
+        if has_running_requests {
+            let text = format!("retiring {:?} aborted requests", order.group);
+            self.oracle.report_violation(text);
         }
     }
 
+    /// Sends an attempt to its upstream.
     pub fn send_attempt(&mut self, entry: usize, run: u64, attempt: Attempt) {
-        // The shell's last look at the evidence.
+        // The driver checks the evidence again right before it sends.
         if self.entries[entry].clock(self.now) >= attempt.valid_until {
             self.end_attempt(entry, run, &attempt, AttemptEnd::NotSent, STEP);
             return;
@@ -162,7 +167,7 @@
         }
         let address = attempt.address;
         self.entries[entry]
-            .running
+            .open_attempts
             .insert(attempt.id, attempt.request);
         self.send_to_host(entry, run, address, HostMessage::Attempt(attempt));
     }
@@ -172,11 +177,11 @@
         let assignments = core.map(|core| core.state().assignments());
         assignments
             .and_then(|assignments| assignments.get(&replica.failure_domain))
-            .map(|assignment| members_of(&assignment.value, replica))
+            .map(|assignment| group_members(&assignment.value, replica))
             .unwrap_or_default()
     }
 
-    fn take_attempt(
+    fn handle_attempt(
         &mut self,
         entry: usize,
         run: u64,
@@ -185,7 +190,7 @@
         is_reached: bool,
         answers: bool,
     ) {
-        let is_abandoned = !self.entries[entry].running.contains_key(&attempt.id)
+        let is_abandoned = !self.entries[entry].open_attempts.contains_key(&attempt.id)
             || self.entries[entry].run != run;
         if !is_reached {
             self.end_attempt(entry, run, &attempt, AttemptEnd::NotSent, STEP);
@@ -200,7 +205,7 @@
             return;
         }
         if is_abandoned && self.rng.random_bool(0.5) {
-            // The engine may see that the connection is closed, or not.
+            // The engine may or may not notice that the connection was closed.
             return;
         }
         if let Some(caller) = self.entries[entry].requests.get(&attempt.request).copied() {
@@ -208,7 +213,7 @@
         }
         let time = STEP * self.rng.random_range(2..60);
         let until = self.now + time;
-        self.hosts[host].running.insert(attempt.id, until);
+        self.hosts[host].running_attempts.insert(attempt.id, until);
         let id = sequence_id(attempt.id);
         self.hosts[host].engine.model.submit(SequenceSpec {
             id,
@@ -217,7 +222,7 @@
             prefix: Vec::new(),
             priority: 0,
         });
-        self.executing.push(Executing {
+        self.executions.push(Execution {
             entry,
             run,
             host,
@@ -226,6 +231,7 @@
         });
     }
 
+    /// Schedules the end of an attempt for its daemon.
     pub fn end_attempt(
         &mut self,
         entry: usize,
@@ -242,57 +248,58 @@
         self.send_to_entry(delay, entry, run, event);
     }
 
-    /// Loads and requests that are done, and what rank 0 sees of its members.
+    /// Finishes loads and requests that are due, and updates what each rank 0 knows of its
+    /// members.
     pub fn step_hosts(&mut self) {
         for index in 0..self.hosts.len() {
             self.finish_load(index);
         }
         self.finish_requests();
         for index in 0..self.hosts.len() {
-            self.look_at_members(index);
+            self.update_member_view(index);
         }
-        self.note_complete();
+        self.record_complete_groups();
     }
 
     fn finish_load(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
-        if let Some((number, until)) = host.loads_until
-            && host.runs()
+        if let Some((number, until)) = host.pending_load
+            && host.is_running()
             && now >= until
         {
             host.engine.finish_load(number);
-            host.loads_until = None;
+            host.pending_load = None;
         }
     }
 
     fn finish_requests(&mut self) {
-        for executing in std::mem::take(&mut self.executing) {
-            let host = &self.hosts[executing.host];
-            if host.is_frozen || (host.is_alive && self.now < executing.until) {
-                self.executing.push(executing);
+        for execution in std::mem::take(&mut self.executions) {
+            let host = &self.hosts[execution.host];
+            if host.is_frozen || (host.is_alive && self.now < execution.until) {
+                self.executions.push(execution);
                 continue;
             }
-            let is_done = host.running.contains_key(&executing.attempt.id);
+            let is_done = host.running_attempts.contains_key(&execution.attempt.id);
             let domain = host.domain.clone();
-            let is_heard = self.reaches(executing.entry, &domain);
-            self.end_execution(executing, is_done && is_heard);
+            let is_delivered = self.can_reach(execution.entry, &domain);
+            self.end_execution(execution, is_done && is_delivered);
         }
     }
 
-    fn end_execution(&mut self, executing: Executing, is_whole: bool) {
-        let Executing {
+    fn end_execution(&mut self, execution: Execution, is_complete: bool) {
+        let Execution {
             entry,
             run,
             host,
             attempt,
             ..
-        } = executing;
+        } = execution;
         let host = &mut self.hosts[host];
-        host.running.remove(&attempt.id);
+        host.running_attempts.remove(&attempt.id);
         host.engine.model.cancel(sequence_id(attempt.id));
         host.engine.finish_drain();
-        if !is_whole {
+        if !is_complete {
             self.end_attempt(entry, run, &attempt, AttemptEnd::Lost, STEP);
             return;
         }
@@ -301,39 +308,39 @@
             && let Some(caller) = self.entries[entry].requests.get(&request)
             && let Some(facts) = self.oracle.requests.get_mut(caller)
         {
-            facts.whole_answers += 1;
+            facts.complete_answers += 1;
         }
         let end = AttemptEnd::Completed { output_tokens: 8 };
         self.end_attempt(entry, run, &attempt, end, STEP);
-        // Some answers come twice.
+        // Some responses are delivered twice.
         if self.rng.random_bool(0.1) {
             self.end_attempt(entry, run, &attempt, end, STEP * 3);
         }
     }
 
-    /// Requests whose engine broke them off are lost.
-    fn lose_broken(&mut self, index: usize) {
+    /// Ends attempts that the engine of a host aborted as lost.
+    fn end_aborted_attempts(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if host.engine.model.is_idle() {
-            host.running.clear();
+            host.running_attempts.clear();
         }
-        for executing in std::mem::take(&mut self.executing) {
-            let host = &self.hosts[executing.host];
-            let is_broken =
-                executing.host == index && !host.running.contains_key(&executing.attempt.id);
-            if is_broken {
-                self.end_execution(executing, false);
+        for execution in std::mem::take(&mut self.executions) {
+            let host = &self.hosts[execution.host];
+            let is_aborted = execution.host == index
+                && !host.running_attempts.contains_key(&execution.attempt.id);
+            if is_aborted {
+                self.end_execution(execution, false);
             } else {
-                self.executing.push(executing);
+                self.executions.push(execution);
             }
         }
     }
 
-    fn look_at_members(&mut self, index: usize) {
-        if !self.hosts[index].runs() {
+    fn update_member_view(&mut self, index: usize) {
+        if !self.hosts[index].is_running() {
             return;
         }
-        let Some((group, others)) = self.hosts[index].engine.others() else {
+        let Some((group, others)) = self.hosts[index].engine.other_members() else {
             return;
         };
         let count = others.len() as u32;
@@ -344,13 +351,13 @@
             .count() as u32;
         let now = self.now;
         let engine = &mut self.hosts[index].engine;
-        if engine.see_others(now, group, ready, count) {
-            self.lose_broken(index);
+        if engine.record_member_check(now, group, ready, count) {
+            self.end_aborted_attempts(index);
         }
     }
 
-    /// Notes which groups are complete in truth, whatever anyone believes.
-    fn note_complete(&mut self) {
+    /// Records which groups are actually complete, independent of what daemons know.
+    fn record_complete_groups(&mut self) {
         let mut complete = Vec::new();
         for host in &self.hosts {
             let Some(membership) = &host.engine.membership else {
@@ -361,7 +368,7 @@
                 let member = self.hosts.iter().find(|other| other.address == *address);
                 member.is_some_and(|member| member.is_ready_in(membership.group))
             });
-            let serves = host.engine.phase == EnginePhase::Ready && !host.engine.is_broken;
+            let serves = host.engine.phase == EnginePhase::Ready && !host.engine.has_lost_member;
             if all_ready && serves && membership.load.rank == 0 {
                 complete.push(ReplicaId {
                     failure_domain: host.domain.clone(),
@@ -370,17 +377,18 @@
             }
         }
         for replica in complete {
-            self.oracle.complete_at.insert(replica, self.now);
+            self.oracle.last_complete_at.insert(replica, self.now);
         }
     }
 
+    /// Takes a host down; attempts that run there are lost.
     pub fn kill_host(&mut self, index: usize) {
         self.hosts[index].kill();
-        self.lose_broken(index);
+        self.end_aborted_attempts(index);
     }
 }
 
-/// Sequences in an engine are named by numbers.
+/// Maps an attempt to the number of its sequence in the engine.
 fn sequence_id(attempt: AttemptId) -> u64 {
     attempt.incarnation.0.rotate_left(32) ^ attempt.sequence
 }
--- a/shalehinge/tests/support/oracle.rs
+++ b/shalehinge/tests/support/oracle.rs
@@ -1,4 +1,4 @@
-//! What must always hold, as plain sets and counters.
+//! The test oracle: checks the system's invariants against sets and counters of what happened.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,58 +7,68 @@
 use shalehinge::core::router::request::Outcome;
 use shalehinge::core::types::{FailureDomain, FleetVersion, HostId, OperationId, ReplicaId};
 
-/// Names a caller's request over all daemons.
+/// Identifies a caller's request across all daemons.
 pub type CallerRequest = u64;
 
-/// A group may be sent to for so long after it was last complete: the evidence
-/// counts for 2 s, an engine looks at its members each 100 ms, and messages
-/// take up to 150 ms.
+/// Maximum time after a group was last complete during which requests may be sent to it: evidence
+/// is valid for 2 s, an engine checks its members every 100 ms, and messages take up to 150 ms.
 pub const EVIDENCE_BOUND: Duration = Duration::from_millis(2_600);
-/// A leaving host gets nothing new after so long.
+/// Maximum time after a host was marked as leaving during which it may get new requests.
 pub const LEAVING_BOUND: Duration = Duration::from_secs(5);
-/// An accepted configuration is in force everywhere after so long.
+/// Maximum time until an accepted configuration is in force everywhere.
 pub const CONFIG_BOUND: Duration = Duration::from_secs(3);
 
-/// After an outage or a cut: a call that was lost in it is given up after 2 s,
-/// and made again after a pause of up to 1 s.
+/// Maximum recovery time after an outage or a partition: a call that was lost times out after 2 s
+/// and is repeated after a pause of up to 1 s.
 pub const RECOVERY_BOUND: Duration = Duration::from_secs(6);
 
-/// What is known of a caller's request.
+/// What happened to a caller's request.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
+    /// Idempotency key.
     pub key: Option<KeyHash>,
     pub repeatable: bool,
+    /// Number of times that it began to run at an upstream.
     pub executions: u32,
-    /// Its own whole answers that went back.
-    pub whole_answers: u32,
+    /// Number of complete responses that were sent back for it.
+    pub complete_answers: u32,
+    /// Final answer, if there was one.
     pub outcome: Option<Outcome>,
 }
 
+/// Records what happened and the violations of invariants.
 #[derive(Default)]
 pub struct Oracle {
+    /// Descriptions of the violations found so far.
     pub violations: Vec<String>,
     pub requests: BTreeMap<CallerRequest, RequestFacts>,
-    /// Executions by key.
-    pub by_key: BTreeMap<KeyHash, u32>,
-    /// When each group was last seen complete.
-    pub complete_at: BTreeMap<ReplicaId, Duration>,
+    /// Number of executions per idempotency key.
+    pub executions_by_key: BTreeMap<KeyHash, u32>,
+    /// When each group was last complete.
+    pub last_complete_at: BTreeMap<ReplicaId, Duration>,
     /// When each host was marked as leaving.
     pub leaving_at: BTreeMap<HostId, Duration>,
-    /// Since when nothing is cut, frozen, down or newly dead.
-    pub calm_since: Duration,
+    /// Time since which there has been no partition, frozen daemon, platform fault, or start or
+    /// end of a daemon.
+    pub undisturbed_since: Duration,
+    /// Time of the last write of the configuration.
     pub config_written_at: Duration,
-    /// Highest configuration seen by each run of a daemon.
-    pub config_seen: BTreeMap<(usize, u64), FleetVersion>,
+    /// Newest configuration in force so far, per daemon and run.
+    pub newest_config: BTreeMap<(usize, u64), FleetVersion>,
+    /// Operations that operators were told had no effect.
     pub refused_operations: BTreeSet<OperationId>,
+    /// Operations that operators were told were accepted.
     pub accepted_operations: BTreeSet<OperationId>,
 }
 
 impl Oracle {
-    pub fn violation(&mut self, text: String) {
+    /// Records a violation.
+    pub fn report_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
-    /// A request began to run at an upstream.
+    /// Records that a request began to run at an upstream. Violated if a request that is not
+    /// repeatable, or a key, runs twice, or a request runs after the answer that it was not run.
     pub fn on_execution(&mut self, request: CallerRequest) {
         let Some(facts) = self.requests.get_mut(&request) else {
             return;
@@ -67,48 +77,50 @@
         let (executions, repeatable, key) = (facts.executions, facts.repeatable, facts.key);
         let outcome = facts.outcome;
         if !repeatable && executions > 1 {
-            self.violation(format!("request {request} ran {executions} times"));
+            self.report_violation(format!("request {request} ran {executions} times"));
         }
         if let Some(key) = key {
-            let count = self.by_key.entry(key).or_default();
+            let count = self.executions_by_key.entry(key).or_default();
             *count += 1;
             if *count > 1 {
                 let count = *count;
-                self.violation(format!("key {key:?} ran {count} times"));
+                self.report_violation(format!("key {key:?} ran {count} times"));
             }
         }
         if matches!(outcome, Some(Outcome::NotRun { .. })) {
-            self.violation(format!(
+            self.report_violation(format!(
                 "request {request} ran after it was answered not run"
             ));
         }
     }
 
-    /// A request got its final answer.
+    /// Records the final answer to a request. Violated by a second answer, by `NotRun` after an
+    /// execution, and by `Completed` without a complete response of its own.
     pub fn on_answer(&mut self, request: CallerRequest, outcome: Outcome) {
         let Some(facts) = self.requests.get_mut(&request) else {
             return;
         };
         let before = facts.outcome.replace(outcome);
-        let (executions, whole) = (facts.executions, facts.whole_answers);
+        let (executions, complete) = (facts.executions, facts.complete_answers);
         if before.is_some() {
-            self.violation(format!("request {request} was answered twice"));
+            self.report_violation(format!("request {request} was answered twice"));
         }
         if matches!(outcome, Outcome::NotRun { .. }) && executions > 0 {
-            self.violation(format!("request {request} ran and was answered not run"));
+            self.report_violation(format!("request {request} ran and was answered not run"));
         }
-        if outcome == Outcome::Completed && whole == 0 {
-            self.violation(format!(
-                "request {request} was completed by an answer not its own"
+        if outcome == Outcome::Completed && complete == 0 {
+            self.report_violation(format!(
+                "request {request} was completed by the response to another request"
             ));
         }
     }
 
-    /// A daemon sends a request to a group.
+    /// Checks that a group that a request is sent to was complete recently and has no member that
+    /// has long been leaving.
     pub fn on_send(&mut self, now: Duration, replica: &ReplicaId, members: &[HostId]) {
-        let last = self.complete_at.get(replica).copied();
+        let last = self.last_complete_at.get(replica).copied();
         if last.is_none_or(|last| now > last + EVIDENCE_BOUND) {
-            self.violation(format!(
+            self.report_violation(format!(
                 "a request went to {replica}, last complete at {last:?}, now {now:?}"
             ));
         }
@@ -116,15 +128,16 @@
             let Some(leaving) = self.leaving_at.get(host) else {
                 continue;
             };
-            if now > (*leaving).max(self.calm_since) + LEAVING_BOUND {
-                self.violation(format!(
+            if now > (*leaving).max(self.undisturbed_since) + LEAVING_BOUND {
+                self.report_violation(format!(
                     "a request went to {replica} with leaving host {host}"
                 ));
             }
         }
     }
 
-    /// Assignments are looked at in every version.
+    /// Checks that each assignment is valid and that no host is assigned in two failure domains.
+    /// Called after each step.
     pub fn check_assignments(&mut self, objects: &BTreeMap<ObjectKey, ObjectValue>) {
         let mut seen: BTreeMap<HostId, FailureDomain> = BTreeMap::new();
         for (key, value) in objects {
@@ -146,7 +159,8 @@
         }
     }
 
-    /// A daemon's configuration only moves forward, and arrives in time.
+    /// Checks that a daemon's configuration never goes back to an older version, and that a new
+    /// one is in force in time.
     pub fn check_config(
         &mut self,
         now: Duration,
@@ -156,17 +170,17 @@
         in_force: FleetVersion,
         newest: FleetVersion,
     ) {
-        let highest = self.config_seen.entry((daemon, run)).or_default();
+        let highest = self.newest_config.entry((daemon, run)).or_default();
         if in_force < *highest {
             let highest = *highest;
             self.violations.push(format!(
-                "daemon {daemon} went from {highest:?} back to {in_force:?}"
+                "daemon {daemon} reverted from configuration {highest:?} to {in_force:?}"
             ));
             return;
         }
         *highest = in_force;
         let accepted = self.config_written_at.max(started_at) + CONFIG_BOUND;
-        let recovered = self.calm_since + RECOVERY_BOUND;
+        let recovered = self.undisturbed_since + RECOVERY_BOUND;
         if newest.supersedes(in_force) && now > accepted.max(recovered) {
             self.violations.push(format!(
                 "daemon {daemon} has {in_force:?} in force, {newest:?} was accepted at {:?}",
@@ -175,7 +189,8 @@
         }
     }
 
-    /// What operators were told against what took effect.
+    /// Checks that changes reported to operators as refused never took effect, and accepted ones
+    /// exactly once.
     pub fn check_operations(&mut self, applied: &[OperationId]) {
         for operation in applied {
             if self.refused_operations.contains(operation) {
@@ -193,7 +208,7 @@
     }
 }
 
-/// How much happened, to see that the checks had something to check.
+/// Amount of activity, to show that the checks were exercised.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Activity {
     pub requests: usize,
@@ -239,11 +254,11 @@
     }
 }
 
-/// An object as the fake platform holds it.
+/// An object as stored by the fake platform.
 pub type ObjectValue = shalehinge::core::objects::Versioned<Object>;
 
-/// Members of a group, if it stands.
-pub fn members_of(assignment: &Assignment, replica: &ReplicaId) -> Vec<HostId> {
+/// Returns the members of a group; empty if the group doesn't exist.
+pub fn group_members(assignment: &Assignment, replica: &ReplicaId) -> Vec<HostId> {
     let group = assignment.groups.get(&replica.number);
     let members = group.map(|group| group.members.as_slice());
     let members = members.unwrap_or_default().iter();
--- a/shalehinge/tests/support/platform.rs
+++ b/shalehinge/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API in memory, with outages and lost answers.
+//! In-memory fake of the platform's object API, with fault injection and restores from a backup.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,37 +7,44 @@
 use shalehinge::core::platform::{NoAnswer, PlatformCall, PlatformReply, PlatformResult};
 use shalehinge::core::types::{OperationId, StoreEra, Version};
 
-/// What the platform does wrong.
+/// An injected fault of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// No fault.
     None,
+    /// No call is answered.
     Down,
-    /// A write takes effect and its answer is lost.
+    /// A write takes effect, but its response is lost.
     LoseAnswer,
     /// A write is lost before it takes effect.
     LoseWrite,
-    /// A write takes effect a second after its caller gave up.
-    LateWrite,
+    /// A write times out for its caller, and takes effect once the fault is removed.
+    DelayWrite,
 }
 
+/// The fake platform.
 pub struct FakePlatform {
     pub fault: Fault,
     pub objects: BTreeMap<ObjectKey, Versioned<Object>>,
-    pub late: Vec<PlatformCall>,
-    /// Every operation that ever changed the configuration.
-    pub operations: Vec<OperationId>,
+    /// Writes that have not taken effect yet.
+    pub delayed_writes: Vec<PlatformCall>,
+    /// All operations that changed the configuration, in order.
+    pub applied_operations: Vec<OperationId>,
+    /// Number of get and list calls.
     pub reads: u64,
+    /// Number of put calls, including those that a fault suppressed.
     pub writes: u64,
+    /// Revision of the store at the last write of each object.
     revisions: BTreeMap<ObjectKey, u64>,
     revision: u64,
     era: u32,
-    copy: Option<Copy>,
-    /// Operations that changed the configuration, and the number that each gave it.
-    written: BTreeSet<(OperationId, u64)>,
+    backup: Option<Backup>,
+    /// Operations that changed the configuration, with the generation that each produced.
+    applied_generations: BTreeSet<(OperationId, u64)>,
 }
 
-/// What a copy of the platform holds.
-struct Copy {
+/// Content of a backup.
+struct Backup {
     objects: BTreeMap<ObjectKey, Versioned<Object>>,
     revisions: BTreeMap<ObjectKey, u64>,
     revision: u64,
@@ -48,18 +55,19 @@
         Self {
             fault: Fault::None,
             objects: BTreeMap::new(),
-            late: Vec::new(),
-            operations: Vec::new(),
+            delayed_writes: Vec::new(),
+            applied_operations: Vec::new(),
             reads: 0,
             writes: 0,
             revisions: BTreeMap::new(),
             revision: 0,
             era: 1,
-            copy: None,
-            written: BTreeSet::new(),
+            backup: None,
+            applied_generations: BTreeSet::new(),
         }
     }
 
+    /// Handles a call, subject to the injected fault.
     pub fn call(&mut self, call: PlatformCall) -> PlatformResult {
         if self.fault == Fault::Down {
             return Err(NoAnswer);
@@ -74,15 +82,15 @@
             }
             PlatformCall::List { .. } => {
                 self.reads += 1;
-                Ok(self.changed(Version::NONE))
+                Ok(self.changes_since(Version::NONE))
             }
-            PlatformCall::Watch { after, .. } => Ok(self.changed(after)),
+            PlatformCall::Watch { after, .. } => Ok(self.changes_since(after)),
             PlatformCall::Put { .. } => {
                 self.writes += 1;
                 match self.fault {
                     Fault::LoseWrite => Err(NoAnswer),
-                    Fault::LateWrite => {
-                        self.late.push(call);
+                    Fault::DelayWrite => {
+                        self.delayed_writes.push(call);
                         Err(NoAnswer)
                     }
                     Fault::LoseAnswer => {
@@ -95,9 +103,9 @@
         }
     }
 
-    /// Writes whose callers gave up take effect now.
-    pub fn land_late_writes(&mut self) {
-        for call in std::mem::take(&mut self.late) {
+    /// Applies the delayed writes.
+    pub fn apply_delayed_writes(&mut self) {
+        for call in std::mem::take(&mut self.delayed_writes) {
             let _ = self.put(call);
         }
     }
@@ -119,15 +127,16 @@
         Ok(PlatformReply::Written(self.write(key, *object)))
     }
 
+    /// Writes an object unconditionally and returns its new version.
     pub fn write(&mut self, key: ObjectKey, object: Object) -> Version {
         let current = self.objects.get(&key).map_or(0, |o| o.version.number);
         let version = Version::new(self.era(), current + 1);
-        // The same configuration written again, after it was lost, changes nothing.
+        // Rewriting a configuration that a restore lost is not a new change.
         if let Object::Fleet(fleet) = &object
             && let Some(last) = fleet.operations.last()
-            && self.written.insert((last, fleet.generation))
+            && self.applied_generations.insert((last, fleet.generation))
         {
-            self.operations.push(last);
+            self.applied_operations.push(last);
         }
         self.revision += 1;
         self.revisions.insert(key.clone(), self.revision);
@@ -140,24 +149,24 @@
         StoreEra::new(self.era)
     }
 
-    /// Copies all that is kept now.
-    pub fn take_copy(&mut self) {
-        self.copy = Some(Copy {
+    /// Takes a backup of the current content.
+    pub fn take_backup(&mut self) {
+        self.backup = Some(Backup {
             objects: self.objects.clone(),
             revisions: self.revisions.clone(),
             revision: self.revision,
         });
     }
 
-    /// Goes on from the copy, if there is one: what was written since is lost, and its versions are
-    /// given out anew.
+    /// Restores the backup, if there is one, in a new era: later writes are lost, and their
+    /// version numbers are reused. Returns whether there was a backup.
     pub fn restore(&mut self) -> bool {
-        let Some(copy) = self.copy.take() else {
+        let Some(backup) = self.backup.take() else {
             return false;
         };
-        self.objects = copy.objects;
-        self.revisions = copy.revisions;
-        self.revision = copy.revision;
+        self.objects = backup.objects;
+        self.revisions = backup.revisions;
+        self.revision = backup.revision;
         self.era += 1;
         let era = self.era();
         for object in self.objects.values_mut() {
@@ -166,22 +175,25 @@
         true
     }
 
-    pub fn has_copy(&self) -> bool {
-        self.copy.is_some()
+    pub fn has_backup(&self) -> bool {
+        self.backup.is_some()
     }
 
-    pub fn drop_copy(&mut self) {
-        self.copy = None;
+    /// Discards the backup, if there is one.
+    pub fn discard_backup(&mut self) {
+        self.backup = None;
     }
 
-    pub fn has_changed(&self, after: Version) -> bool {
-        match self.changed(after) {
+    /// Whether a watch from this revision would be answered at once.
+    pub fn has_changes_since(&self, after: Version) -> bool {
+        match self.changes_since(after) {
             PlatformReply::Objects { updates, .. } => !updates.is_empty(),
             _ => true,
         }
     }
 
-    pub fn changed(&self, after: Version) -> PlatformReply {
+    /// Returns the shared objects that changed after a revision.
+    pub fn changes_since(&self, after: Version) -> PlatformReply {
         if after.number > self.revision {
             return PlatformReply::HistoryGone(self.era());
         }
--- a/shalehinge/tests/support/world.rs
+++ b/shalehinge/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Time, network and cores of a small fleet, stepped in one thread.
+//! Simulated time, network and entry hosts of a small fleet, stepped in one thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,19 +21,25 @@
 
 use super::engines::FakeHost;
 use super::entry::Entry;
-use super::fabric::{Executing, HostMessage};
+use super::host_messages::{Execution, HostMessage};
 use super::oracle::{CallerRequest, Oracle};
 use super::platform::{FakePlatform, Fault};
 
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(50);
+/// The only model of the fleet.
 pub const MODEL: &str = "lector-llm";
+/// The only customer of the fleet.
 pub const CUSTOMER: &str = "lecturistas";
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a call to a host or a peer.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a watch waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
 const HOSTS_PER_REPLICA: u32 = 2;
 
-/// A message on its way.
+/// A message in transit.
 pub enum Delivery {
     Entry {
         entry: usize,
@@ -54,49 +60,64 @@
     },
 }
 
+/// A watch that is waiting for a change.
 pub struct PendingWatch {
     pub entry: usize,
+    /// Run of the daemon that watches; the answer is dropped if it has been restarted.
     pub run: u64,
     pub call: CallId,
     pub after: Version,
+    /// When it is answered even without a change.
     pub until: Duration,
 }
 
-/// A question to a peer that is not answered yet.
+/// A pull from a peer that has not been answered.
 pub struct PendingPull {
     entry: usize,
     run: u64,
     topic: PullTopic,
+    /// When it times out.
     until: Duration,
 }
 
+/// The simulated fleet.
 pub struct World {
+    /// Simulated time.
     pub now: Duration,
     pub platform: FakePlatform,
     pub hosts: Vec<FakeHost>,
     pub entries: Vec<Entry>,
     pub domains: Vec<FailureDomain>,
-    pub cut: BTreeSet<FailureDomain>,
-    pub platform_cut: BTreeSet<FailureDomain>,
+    /// Failure domains that are partitioned from the others.
+    pub partitioned_domains: BTreeSet<FailureDomain>,
+    /// Failure domains that are partitioned from the platform.
+    pub platform_partitioned_domains: BTreeSet<FailureDomain>,
     pub oracle: Oracle,
+    /// All plans that daemons returned, oldest first.
     pub plans: Vec<Plan>,
-    pub answers: Vec<(OperationId, OperatorAnswer)>,
+    /// Answers to confirms.
+    pub operator_answers: Vec<(OperationId, OperatorAnswer)>,
     pub rng: SmallRng,
+    /// Messages in transit, by time of delivery and sequence number.
     pub network: BTreeMap<(Duration, u64), Delivery>,
     pub next_message: u64,
     pub next_request: CallerRequest,
     pub next_operation: u64,
     pub next_pull: u64,
+    /// Watches that are waiting for a change.
     pub watches: Vec<PendingWatch>,
     pub pulls: BTreeMap<PullId, PendingPull>,
+    /// Operator calls in progress, by daemon, with the operation that each confirms.
     pub operator_calls: BTreeMap<(usize, OperatorCallId), Option<OperationId>>,
+    /// Deadlines of callers' requests, in simulated time.
     pub deadlines: BTreeMap<CallerRequest, Duration>,
-    pub executing: Vec<Executing>,
+    /// Attempts that are running at hosts.
+    pub executions: Vec<Execution>,
 }
 
 impl World {
-    /// Two failure domains with two entry hosts and five hosts each, one of
-    /// them without a check of fences. Nothing is configured yet.
+    /// Creates two failure domains, each with two entry hosts and five hosts, one of which doesn't
+    /// check fencing tokens. Nothing is configured or started.
     pub fn empty(seed: u64) -> Self {
         let domains = vec![FailureDomain::new("talca-a"), FailureDomain::new("talca-b")];
         let mut hosts = Vec::new();
@@ -123,11 +144,11 @@
             hosts,
             entries,
             domains,
-            cut: BTreeSet::new(),
-            platform_cut: BTreeSet::new(),
+            partitioned_domains: BTreeSet::new(),
+            platform_partitioned_domains: BTreeSet::new(),
             oracle: Oracle::default(),
             plans: Vec::new(),
-            answers: Vec::new(),
+            operator_answers: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             network: BTreeMap::new(),
             next_message: 0,
@@ -138,14 +159,14 @@
             pulls: BTreeMap::new(),
             operator_calls: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            executing: Vec::new(),
+            executions: Vec::new(),
         };
         world.write_host_list();
         world
     }
 
-    /// The same fleet with a customer, a model of two replicas a failure
-    /// domain, and everything formed.
+    /// Creates the same fleet with a customer and a model of two replicas per failure domain, and
+    /// steps until all replicas serve.
     pub fn serving(seed: u64) -> Self {
         let mut world = Self::empty(seed);
         world.configure();
@@ -154,7 +175,10 @@
         }
         world.run_until("both replicas of each domain serve", |world| {
             world.serving_groups() == 4
-                && world.entries.iter().all(|entry| entry.sees(4, world.now))
+                && world
+                    .entries
+                    .iter()
+                    .all(|entry| entry.has_eligible_replicas(4, world.now))
         });
         world
     }
@@ -203,12 +227,13 @@
         list
     }
 
+    /// Writes the host list to the platform.
     pub fn write_host_list(&mut self) {
         let list = self.host_list();
         self.platform.write(ObjectKey::Hosts, Object::Hosts(list));
     }
 
-    /// Serving groups, by the assignments in the platform.
+    /// Returns the number of serving groups, according to the assignments on the platform.
     pub fn serving_groups(&self) -> usize {
         let values = self.platform.objects.values();
         let assignments = values.filter_map(|object| match &object.value {
@@ -223,6 +248,7 @@
 
     // --- time ---
 
+    /// Steps for a span of simulated time.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -230,26 +256,27 @@
         }
     }
 
-    /// Steps until the condition holds, for two minutes at most.
+    /// Steps until the condition holds; panics after two minutes of simulated time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let end = self.now + Duration::from_secs(120);
         while !condition(self) {
-            assert!(self.now < end, "waited too long: {what}");
+            assert!(self.now < end, "timed out waiting for: {what}");
             self.step();
         }
     }
 
+    /// Advances by one step: delivers messages, runs daemons and hosts, and checks the invariants.
     pub fn step(&mut self) {
         self.now += STEP;
         self.deliver_due();
-        self.give_up_pulls();
+        self.time_out_pulls();
         self.answer_watches();
         for index in 0..self.entries.len() {
-            self.carry_out(index);
-            self.give(index, Event::Tick);
+            self.execute_actions(index);
+            self.deliver_event(index, Event::Tick);
         }
         self.step_hosts();
-        self.check();
+        self.check_invariants();
     }
 
     fn deliver_due(&mut self) {
@@ -262,26 +289,29 @@
         }
     }
 
-    pub fn send_in(&mut self, delay: Duration, delivery: Delivery) {
+    /// Schedules a delivery.
+    pub fn schedule_delivery(&mut self, delay: Duration, delivery: Delivery) {
         self.next_message += 1;
         let key = (self.now + delay, self.next_message);
         self.network.insert(key, delivery);
     }
 
+    /// Returns a random network delay.
     pub fn delay(&mut self) -> Duration {
         STEP * self.rng.random_range(0..=2)
     }
 
+    /// Schedules an event for a daemon; it is dropped if the daemon restarts before.
     pub fn send_to_entry(&mut self, delay: Duration, entry: usize, run: u64, event: Event) {
         let event = Box::new(event);
-        self.send_in(delay, Delivery::Entry { entry, run, event });
+        self.schedule_delivery(delay, Delivery::Entry { entry, run, event });
     }
 
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::Entry { entry, run, event } => {
                 if self.entries[entry].run == run {
-                    self.give(entry, *event);
+                    self.deliver_event(entry, *event);
                 }
             }
             Delivery::Platform {
@@ -289,18 +319,18 @@
                 run,
                 call,
                 request,
-            } => self.at_platform(entry, run, call, request),
+            } => self.handle_at_platform(entry, run, call, request),
             Delivery::Host {
                 entry,
                 run,
                 host,
                 message,
-            } => self.at_host(entry, run, host, message),
+            } => self.handle_at_host(entry, run, host, message),
         }
     }
 
-    /// Gives an event to a core, or keeps it while the core is frozen.
-    pub fn give(&mut self, index: usize, event: Event) {
+    /// Passes an event to a daemon core, or queues it while the daemon is frozen.
+    pub fn deliver_event(&mut self, index: usize, event: Event) {
         let now = self.now;
         let entry = &mut self.entries[index];
         let clock = entry.clock(now);
@@ -316,77 +346,84 @@
         core.handle(clock, event, &mut entry.outbox);
     }
 
-    // --- what happens to entry hosts ---
+    // --- entry hosts ---
 
+    /// Starts a daemon with empty state, unless it is running.
     pub fn start(&mut self, index: usize) {
         let now = self.now;
         self.entries[index].start(now);
-        self.disturb();
+        self.record_disturbance();
     }
 
+    /// Kills a daemon without a shutdown.
     pub fn kill(&mut self, index: usize) {
         self.entries[index].kill();
-        self.disturb();
+        self.record_disturbance();
     }
 
+    /// Pauses a running daemon; its clock advances and its events are queued.
     pub fn freeze(&mut self, index: usize) {
         self.entries[index].is_frozen = self.entries[index].core.is_some();
     }
 
-    pub fn wake(&mut self, index: usize) {
+    /// Resumes a frozen daemon, which then handles the queued events.
+    pub fn unfreeze(&mut self, index: usize) {
         if !self.entries[index].is_frozen {
             return;
         }
         self.entries[index].is_frozen = false;
-        self.disturb();
-        // What it had decided before goes out first, as nothing happened.
-        self.carry_out(index);
+        self.record_disturbance();
+        // Actions that were decided before the freeze are executed first.
+        self.execute_actions(index);
         for event in std::mem::take(&mut self.entries[index].inbox) {
-            self.give(index, event);
+            self.deliver_event(index, event);
         }
     }
 
+    /// Asks a running daemon to shut down.
     pub fn stop(&mut self, index: usize) {
-        if self.entries[index].runs() {
+        if self.entries[index].is_running() {
             self.entries[index].is_stopping = true;
-            self.disturb();
-            self.give(index, Event::Stop);
+            self.record_disturbance();
+            self.deliver_event(index, Event::Stop);
         }
     }
 
-    pub fn disturb(&mut self) {
-        self.oracle.calm_since = self.now;
+    /// Records a disturbance, so that time limits count from now.
+    pub fn record_disturbance(&mut self) {
+        self.oracle.undisturbed_since = self.now;
     }
 
     // --- actions ---
 
-    fn carry_out(&mut self, index: usize) {
-        if !self.entries[index].runs() {
+    fn execute_actions(&mut self, index: usize) {
+        if !self.entries[index].is_running() {
             return;
         }
         let actions = std::mem::take(&mut self.entries[index].outbox);
         let has_stopped = actions.contains(&Action::Stopped);
         for action in actions {
-            self.act(index, action);
+            self.execute_action(index, action);
         }
-        // The process ends once what it decided by then has gone out.
+        // The process exits after it has executed all actions decided so far.
         if has_stopped {
-            self.stopped(index);
+            self.handle_stopped(index);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn execute_action(&mut self, index: usize, action: Action) {
         let run = self.entries[index].run;
         match action {
             Action::Platform { call, request } => self.call_platform(index, run, call, request),
             Action::Pull { to, pull } => self.pull(index, run, to, pull),
             Action::AnswerPull { pull_id, reply } => {
-                let asker = self.pulls.get(&pull_id).map(|pull| pull.entry);
-                let is_cut =
-                    asker.is_none_or(|asker| !self.reaches(index, &self.entries[asker].domain));
-                if !is_cut && let Some(pull) = self.pulls.remove(&pull_id) {
+                let requester = self.pulls.get(&pull_id).map(|pull| pull.entry);
+                let is_partitioned = requester.is_none_or(|requester| {
+                    !self.can_reach(index, &self.entries[requester].domain)
+                });
+                if !is_partitioned && let Some(pull) = self.pulls.remove(&pull_id) {
                     let delay = self.delay();
-                    self.end_pull(delay, &pull, Some(reply));
+                    self.schedule_pull_answer(delay, &pull, Some(reply));
                 }
             }
             Action::Notify { to, notice } => self.notify(index, to, notice),
@@ -405,7 +442,7 @@
                 valid_until,
                 ..
             } => {
-                // The shell's last look at the lease.
+                // The driver checks the lease again right before it sends an order.
                 let asked_at = self.entries[index].clock(self.now);
                 if asked_at < valid_until {
                     let message = HostMessage::Order { order, asked_at };
@@ -413,31 +450,34 @@
                 }
             }
             Action::Send(attempt) => self.send_attempt(index, run, attempt),
-            Action::CancelAttempt(attempt) => self.abandon(index, attempt),
+            Action::CancelAttempt(attempt) => self.handle_abandon(index, attempt),
             Action::CheckUpstream { upstream, .. } => {
-                // As if each lost attempt were a crash: nothing may hang on it.
+                // Every lost attempt is reported as a crash: no invariant may depend on this.
                 let is_gone = true;
                 let event = Event::UpstreamChecked { upstream, is_gone };
                 self.send_to_entry(Duration::ZERO, index, run, event);
             }
-            Action::Answer { request, outcome } => self.answer(index, request, outcome),
+            Action::Answer { request, outcome } => self.handle_answer(index, request, outcome),
             Action::AnswerOperator { call_id, answer } => {
-                self.answer_operator(index, call_id, answer);
+                self.record_operator_answer(index, call_id, answer);
             }
             Action::Log(_) | Action::Stopped => {}
         }
     }
 
-    pub fn reaches(&self, index: usize, other: &FailureDomain) -> bool {
+    /// Whether an entry host can exchange messages with a failure domain.
+    pub fn can_reach(&self, index: usize, other: &FailureDomain) -> bool {
         let own = &self.entries[index].domain;
-        own == other || (!self.cut.contains(own) && !self.cut.contains(other))
+        own == other
+            || (!self.partitioned_domains.contains(own)
+                && !self.partitioned_domains.contains(other))
     }
 
-    fn stopped(&mut self, index: usize) {
+    fn handle_stopped(&mut self, index: usize) {
         let left: Vec<CallerRequest> = self.entries[index].requests.values().copied().collect();
         if !left.is_empty() {
             let text = format!("daemon {index} stopped with requests {left:?} in progress");
-            self.oracle.violation(text);
+            self.oracle.report_violation(text);
         }
         self.kill(index);
     }
@@ -445,7 +485,10 @@
     // --- platform ---
 
     fn call_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
-        if self.platform_cut.contains(&self.entries[entry].domain) {
+        if self
+            .platform_partitioned_domains
+            .contains(&self.entries[entry].domain)
+        {
             let result = Err(NoAnswer);
             let event = Event::Platform { call, result };
             self.send_to_entry(PLATFORM_TIMEOUT, entry, run, event);
@@ -458,10 +501,10 @@
             call,
             request,
         };
-        self.send_in(delay, delivery);
+        self.schedule_delivery(delay, delivery);
     }
 
-    fn at_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
+    fn handle_at_platform(&mut self, entry: usize, run: u64, call: CallId, request: PlatformCall) {
         if let PlatformCall::Watch { after, .. } = request
             && self.platform.fault == Fault::None
         {
@@ -486,7 +529,9 @@
         if writes_config {
             self.oracle.config_written_at = self.now;
         }
-        let is_lost = self.platform_cut.contains(&self.entries[entry].domain);
+        let is_lost = self
+            .platform_partitioned_domains
+            .contains(&self.entries[entry].domain);
         let result = if is_lost { Err(NoAnswer) } else { result };
         let delay = if result.is_err() {
             PLATFORM_TIMEOUT
@@ -499,17 +544,17 @@
     fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             let is_lost = self
-                .platform_cut
+                .platform_partitioned_domains
                 .contains(&self.entries[watch.entry].domain)
                 || self.platform.fault == Fault::Down;
-            let is_due = self.platform.has_changed(watch.after) || self.now >= watch.until;
+            let is_due = self.platform.has_changes_since(watch.after) || self.now >= watch.until;
             let call = watch.call;
             if is_lost {
                 let result = Err(NoAnswer);
                 let event = Event::Platform { call, result };
                 self.send_to_entry(PLATFORM_TIMEOUT, watch.entry, watch.run, event);
             } else if is_due {
-                let result = Ok(self.platform.changed(watch.after));
+                let result = Ok(self.platform.changes_since(watch.after));
                 let delay = self.delay();
                 let event = Event::Platform { call, result };
                 self.send_to_entry(delay, watch.entry, watch.run, event);
@@ -521,11 +566,16 @@
 
     // --- peers ---
 
-    fn entry_at(&self, address: SocketAddr) -> Option<usize> {
+    fn entry_by_address(&self, address: SocketAddr) -> Option<usize> {
         self.entries.iter().position(|e| e.address == address)
     }
 
-    fn end_pull(&mut self, delay: Duration, pull: &PendingPull, reply: Option<PullReply>) {
+    fn schedule_pull_answer(
+        &mut self,
+        delay: Duration,
+        pull: &PendingPull,
+        reply: Option<PullReply>,
+    ) {
         let event = Event::PullAnswered {
             topic: pull.topic,
             asked_at: shalehinge::core::types::Timestamp::ZERO,
@@ -534,15 +584,16 @@
         self.send_to_entry(delay, pull.entry, pull.run, event);
     }
 
-    /// Questions whose peer died, or was cut off before it answered, are given up.
-    fn give_up_pulls(&mut self) {
+    /// Ends pulls that timed out, as their peer died or was partitioned before it answered.
+    fn time_out_pulls(&mut self) {
         let now = self.now;
         let pulls = std::mem::take(&mut self.pulls);
-        let is_over = |pull: &PendingPull| now >= pull.until;
-        let (over, open): (Vec<_>, Vec<_>) = pulls.into_iter().partition(|(_, p)| is_over(p));
+        let has_timed_out = |pull: &PendingPull| now >= pull.until;
+        let (timed_out, open): (Vec<_>, Vec<_>) =
+            pulls.into_iter().partition(|(_, p)| has_timed_out(p));
         self.pulls = open.into_iter().collect();
-        for (_, pull) in over {
-            self.end_pull(Duration::ZERO, &pull, None);
+        for (_, pull) in timed_out {
+            self.schedule_pull_answer(Duration::ZERO, &pull, None);
         }
     }
 
@@ -553,13 +604,13 @@
             topic: pull.topic,
             until: self.now + CALL_TIMEOUT,
         };
-        let target = self.entry_at(to);
+        let target = self.entry_by_address(to);
         let target = target.filter(|target| {
             let target = &self.entries[*target];
-            target.runs() && self.reaches(index, &target.domain)
+            target.is_running() && self.can_reach(index, &target.domain)
         });
         let Some(target) = target else {
-            self.end_pull(CALL_TIMEOUT, &pending, None);
+            self.schedule_pull_answer(CALL_TIMEOUT, &pending, None);
             return;
         };
         let pull_id = PullId(self.next_pull);
@@ -576,14 +627,14 @@
     }
 
     fn notify(&mut self, index: usize, to: SocketAddr, notice: shalehinge::core::event::Notice) {
-        let Some(target) = self.entry_at(to) else {
+        let Some(target) = self.entry_by_address(to) else {
             return;
         };
-        if !self.reaches(index, &self.entries[target].domain.clone()) {
+        if !self.can_reach(index, &self.entries[target].domain.clone()) {
             return;
         }
         let run = self.entries[target].run;
-        // Some messages come twice.
+        // Some messages are delivered twice.
         let copies = 1 + u32::from(self.rng.random_bool(0.2));
         for _ in 0..copies {
             let delay = self.delay();
@@ -591,23 +642,23 @@
         }
     }
 
-    fn abandon(&mut self, index: usize, attempt: AttemptId) {
-        let Some(request) = self.entries[index].running.remove(&attempt) else {
+    fn handle_abandon(&mut self, index: usize, attempt: AttemptId) {
+        let Some(request) = self.entries[index].open_attempts.remove(&attempt) else {
             return;
         };
         let caller = self.entries[index].requests.get(&request).copied();
         let deadline = caller.and_then(|caller| self.deadlines.get(&caller).copied());
-        // Clocks differ a little.
+        // Clock rates differ slightly.
         let slack = Duration::from_millis(500);
         if deadline.is_some_and(|deadline| self.now + slack < deadline) {
-            let text = format!("daemon {index} broke off request {caller:?} before its deadline");
-            self.oracle.violation(text);
+            let text = format!("daemon {index} aborted request {caller:?} before its deadline");
+            self.oracle.report_violation(text);
         }
     }
 
-    fn answer(&mut self, index: usize, request: RequestId, outcome: Outcome) {
+    fn handle_answer(&mut self, index: usize, request: RequestId, outcome: Outcome) {
         let entry = &mut self.entries[index];
-        entry.running.retain(|_, running| *running != request);
+        entry.open_attempts.retain(|_, running| *running != request);
         if let Some(caller) = entry.requests.remove(&request) {
             self.oracle.on_answer(caller, outcome);
         }
--- a/standin/src/engine/model.rs
+++ b/standin/src/engine/model.rs
@@ -1,10 +1,10 @@
-//! The model of a replica's engine: what a continuous batch does, step by step.
+//! Performance model of a replica's engine: simulates continuous batching step by step.
 //!
-//! Each step lets every running sequence compute one token, or a piece of its
-//! prompt. The time of a step grows with the sequences and with the prompt
-//! tokens in it. KV memory is taken as sequences grow; when it is full, the
-//! youngest sequence is put back and computed anew. Used by the stand-in engine
-//! in real time and by the experiments in their own time.
+//! In each step, every running sequence either decodes one token or prefills a chunk of its
+//! prompt. The duration of a step grows with the number of sequences and of prompt tokens in
+//! it. KV cache usage grows with the sequences; when the KV cache is full, the sequence admitted
+//! last is preempted and recomputed later. The stand-in engine runs the model in real time, the
+//! experiments in simulated time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use shalehinge::core::router::prefix::BLOCK_TOKENS;
 use shalehinge::core::router::request::PrefixChain;
 
-/// How fast and large an engine is.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineParameters {
-    /// Sequences in a batch.
+    /// Maximum number of sequences in a batch.
     pub slots: u32,
-    /// KV memory in tokens.
+    /// Capacity of the KV cache, in tokens.
     pub kv_total: u64,
-    /// Prompt tokens in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u32,
-    /// Time of a step with nothing in it.
+    /// Duration of a step with an empty batch.
     pub step_base: Duration,
     /// Time that each sequence adds to a step.
     pub step_per_sequence: Duration,
     /// Time that each prompt token adds to a step.
     pub step_per_prompt_token: Duration,
-    /// Blocks of prompts that the cache holds.
+    /// Capacity of the prefix cache, in blocks of `BLOCK_TOKENS` tokens.
     pub cache_blocks: usize,
-    /// All times are longer by this factor.
-    pub slowness: f64,
+    /// Factor by which the duration of every step is multiplied.
+    pub slowdown: f64,
 }
 
 impl Default for EngineParameters {
@@ -44,7 +44,7 @@
             step_per_sequence: Duration::from_micros(400),
             step_per_prompt_token: Duration::from_micros(40),
             cache_blocks: 1_500,
-            slowness: 1.0,
+            slowdown: 1.0,
         }
     }
 }
@@ -52,109 +52,110 @@
 /// A request to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SequenceSpec {
-    /// Name of the sequence.
+    /// Identifier of the sequence, unique within the engine.
     pub id: u64,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
-    /// Start of the prompt, hashed.
+    /// Hashes of the leading blocks of the prompt, for the prefix cache.
     pub prefix: PrefixChain,
-    /// Higher goes first.
+    /// Waiting sequences with a higher priority are admitted first.
     pub priority: u8,
 }
 
 #[derive(Clone, Debug)]
 struct Sequence {
     spec: SequenceSpec,
-    prompt_left: u32,
+    remaining_prompt_tokens: u32,
     generated: u32,
 }
 
 impl Sequence {
-    /// KV memory that it takes now.
-    fn kv(&self) -> u64 {
-        let all = u64::from(self.spec.prompt_tokens) + u64::from(self.generated);
-        all.saturating_sub(u64::from(self.prompt_left))
+    /// KV cache that the sequence currently uses, in tokens.
+    fn kv_tokens(&self) -> u64 {
+        let total = u64::from(self.spec.prompt_tokens) + u64::from(self.generated);
+        total.saturating_sub(u64::from(self.remaining_prompt_tokens))
     }
 }
 
-/// A token that a step gave.
+/// A token that a step generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// Which sequence.
+    /// Identifier of the sequence.
     pub id: u64,
-    /// Its number, from 1.
+    /// Position in the output, starting from 1.
     pub number: u32,
-    /// Whether it is the last.
+    /// Whether it is the last token of the sequence.
     pub is_last: bool,
 }
 
 /// One step of the batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// How long it takes.
+    /// Duration of the step.
     pub duration: Duration,
-    /// Tokens at its end.
+    /// Tokens generated, available at the end of the step.
     pub tokens: Vec<Token>,
 }
 
-/// The engine of one replica.
+/// Model of the engine of one replica.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     parameters: EngineParameters,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
     cache: PrefixCache,
-    /// Prompt blocks that were found in the cache.
-    pub hit_blocks: u64,
-    /// Prompt blocks looked up.
-    pub asked_blocks: u64,
-    /// Sequences put back as KV memory was full.
+    /// Total number of prompt blocks found in the prefix cache.
+    pub cache_hit_blocks: u64,
+    /// Total number of prompt blocks looked up in the prefix cache.
+    pub cache_lookup_blocks: u64,
+    /// Total number of sequences preempted because the KV cache was full.
     pub preemptions: u64,
 }
 
 impl EngineModel {
-    /// An idle engine with an empty cache.
+    /// Returns an idle engine with an empty prefix cache.
     pub fn new(parameters: EngineParameters) -> Self {
         Self {
             cache: PrefixCache::new(parameters.cache_blocks),
             parameters,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            hit_blocks: 0,
-            asked_blocks: 0,
+            cache_hit_blocks: 0,
+            cache_lookup_blocks: 0,
             preemptions: 0,
         }
     }
 
-    /// Makes all times longer or shorter from now on.
-    pub fn set_slowness(&mut self, slowness: f64) {
-        self.parameters.slowness = slowness;
+    /// Sets the factor by which the duration of every further step is multiplied.
+    pub fn set_slowdown(&mut self, slowdown: f64) {
+        self.parameters.slowdown = slowdown;
     }
 
-    /// Takes in a sequence.
+    /// Queues a sequence behind those of the same or a higher priority.
     pub fn submit(&mut self, spec: SequenceSpec) {
         let sequence = Sequence {
-            prompt_left: spec.prompt_tokens,
+            remaining_prompt_tokens: spec.prompt_tokens,
             generated: 0,
             spec,
         };
-        let place = self
+        let position = self
             .waiting
             .iter()
             .position(|other| other.spec.priority < sequence.spec.priority)
             .unwrap_or(self.waiting.len());
-        self.waiting.insert(place, sequence);
+        self.waiting.insert(position, sequence);
     }
 
-    /// Breaks off a sequence.
+    /// Cancels a sequence, whether it is waiting or running.
     pub fn cancel(&mut self, id: u64) {
         self.running.retain(|sequence| sequence.spec.id != id);
         self.waiting.retain(|sequence| sequence.spec.id != id);
     }
 
-    /// Breaks off all sequences and forgets the cache; says which there were.
+    /// Cancels all sequences and clears the prefix cache. Returns the identifiers of the
+    /// cancelled sequences.
     pub fn reset(&mut self) -> Vec<u64> {
         self.cache = PrefixCache::new(self.parameters.cache_blocks);
         let running = self.running.drain(..);
@@ -162,12 +163,12 @@
         all.map(|sequence| sequence.spec.id).collect()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether no sequence is running or waiting.
     pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// Load as the engine reports it.
+    /// Returns the current load as the engine reports it.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.len() as u32,
@@ -180,10 +181,10 @@
     }
 
     fn kv_used(&self) -> u64 {
-        self.running.iter().map(Sequence::kv).sum()
+        self.running.iter().map(Sequence::kv_tokens).sum()
     }
 
-    /// Does one step; `None` if there is nothing to do.
+    /// Runs one step. Returns `None` if no sequence is running or waiting.
     pub fn step(&mut self) -> Option<Step> {
         self.admit();
         if self.running.is_empty() {
@@ -191,33 +192,34 @@
         }
         let prompt_tokens = self.prefill();
         let tokens = self.decode();
-        self.make_room();
+        self.preempt_over_capacity();
         let sequences = self.running.len() as u32;
-        let time = self.parameters.step_base
+        let duration = self.parameters.step_base
             + self.parameters.step_per_sequence * sequences
             + self.parameters.step_per_prompt_token * prompt_tokens;
-        let done: Vec<u64> = tokens.iter().filter(|t| t.is_last).map(|t| t.id).collect();
+        let completed: Vec<u64> = tokens.iter().filter(|t| t.is_last).map(|t| t.id).collect();
         self.running
-            .retain(|sequence| !done.contains(&sequence.spec.id));
+            .retain(|sequence| !completed.contains(&sequence.spec.id));
         Some(Step {
-            duration: time.mul_f64(self.parameters.slowness),
+            duration: duration.mul_f64(self.parameters.slowdown),
             tokens,
         })
     }
 
-    /// Takes waiting sequences in while a slot and memory for their prompt are free.
+    /// Admits waiting sequences while there is a free slot, and KV cache for the prompts and the
+    /// outputs so far. An empty batch admits a sequence of any size.
     fn admit(&mut self) {
         while self.running.len() < self.parameters.slots as usize {
             let Some(next) = self.waiting.front() else {
                 return;
             };
-            let needed = u64::from(next.spec.prompt_tokens) + u64::from(next.generated);
+            let required = u64::from(next.spec.prompt_tokens) + u64::from(next.generated);
             let committed: u64 = self
                 .running
                 .iter()
                 .map(|s| u64::from(s.spec.prompt_tokens) + u64::from(s.generated))
                 .sum();
-            let fits = committed + needed <= self.parameters.kv_total;
+            let fits = committed + required <= self.parameters.kv_total;
             if !fits && !self.running.is_empty() {
                 return;
             }
@@ -229,32 +231,35 @@
         }
     }
 
+    /// Skips the prefill of the prompt blocks that are cached, and caches the others.
     fn use_cache(&mut self, sequence: &mut Sequence) {
         let chain = &sequence.spec.prefix;
-        let held = self.cache.matching_blocks(chain);
-        self.asked_blocks += chain.len() as u64;
-        self.hit_blocks += held as u64;
-        let held_tokens = held as u32 * BLOCK_TOKENS;
-        sequence.prompt_left = sequence.prompt_left.saturating_sub(held_tokens);
+        let cached_blocks = self.cache.matching_blocks(chain);
+        self.cache_lookup_blocks += chain.len() as u64;
+        self.cache_hit_blocks += cached_blocks as u64;
+        let cached_tokens = cached_blocks as u32 * BLOCK_TOKENS;
+        sequence.remaining_prompt_tokens = sequence
+            .remaining_prompt_tokens
+            .saturating_sub(cached_tokens);
         self.cache.insert(chain);
     }
 
-    /// Computes pieces of prompts, oldest first; says how many tokens.
+    /// Prefills chunks of prompts in the order of admission. Returns the number of prompt tokens.
     fn prefill(&mut self) -> u32 {
-        let mut left = self.parameters.prefill_chunk;
+        let mut budget = self.parameters.prefill_chunk;
         for sequence in &mut self.running {
-            let piece = sequence.prompt_left.min(left);
-            sequence.prompt_left -= piece;
-            left -= piece;
+            let chunk = sequence.remaining_prompt_tokens.min(budget);
+            sequence.remaining_prompt_tokens -= chunk;
+            budget -= chunk;
         }
-        self.parameters.prefill_chunk - left
+        self.parameters.prefill_chunk - budget
     }
 
-    /// One token for each sequence whose prompt is done.
+    /// Generates one token for each sequence whose prefill is complete.
     fn decode(&mut self) -> Vec<Token> {
         let mut tokens = Vec::new();
         for sequence in &mut self.running {
-            if sequence.prompt_left > 0 {
+            if sequence.remaining_prompt_tokens > 0 {
                 continue;
             }
             sequence.generated += 1;
@@ -267,25 +272,28 @@
         tokens
     }
 
-    /// Puts back the youngest sequences while KV memory is over its bound.
-    fn make_room(&mut self) {
+    /// Preempts the sequences admitted last while KV cache usage exceeds its capacity.
+    fn preempt_over_capacity(&mut self) {
         while self.kv_used() > self.parameters.kv_total && self.running.len() > 1 {
             let Some(mut youngest) = self.running.pop() else {
                 return;
             };
             self.preemptions += 1;
-            youngest.prompt_left = youngest.spec.prompt_tokens + youngest.generated;
+            youngest.remaining_prompt_tokens = youngest.spec.prompt_tokens + youngest.generated;
             self.waiting.push_front(youngest);
         }
     }
 }
 
-/// Blocks of prompts, the least recently used dropped first.
+/// Hashes of prompt blocks, evicted in least recently used order.
 #[derive(Clone, Debug)]
 struct PrefixCache {
     capacity: usize,
+    /// Logical time: number of insertions.
     clock: u64,
+    /// Time of last use by block hash.
     used_at: HashMap<u64, u64>,
+    /// Block hash by time of last use.
     by_use: BTreeMap<u64, u64>,
 }
 
@@ -299,6 +307,7 @@
         }
     }
 
+    /// Returns the number of leading blocks of the chain that are cached.
     fn matching_blocks(&self, chain: &PrefixChain) -> usize {
         chain
             .iter()
@@ -309,8 +318,8 @@
     fn insert(&mut self, chain: &PrefixChain) {
         for hash in chain {
             self.clock += 1;
-            if let Some(before) = self.used_at.insert(*hash, self.clock) {
-                self.by_use.remove(&before);
+            if let Some(previous) = self.used_at.insert(*hash, self.clock) {
+                self.by_use.remove(&previous);
             }
             self.by_use.insert(self.clock, *hash);
         }
--- a/standin/src/engine/server.rs
+++ b/standin/src/engine/server.rs
@@ -1,6 +1,6 @@
-//! The stand-in engine's API over HTTP. See docs/INTERFACES.md.
+//! HTTP API of the stand-in engine. See docs/INTERFACES.md.
 //!
-//! One process runs one host or several, each with its own listener.
+//! One process runs one or more hosts, each with its own listener.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -30,73 +30,77 @@
 use super::faults::EngineFault;
 use super::model::{EngineParameters, SequenceSpec, Token};
 use super::state::{Followup, HostEngine};
-use crate::server::{announce, read_json, serve, write_json};
+use crate::server::{print_listen_address, read_json, serve, write_json};
 
-/// Time between two looks of rank 0 at the other members.
-const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time that another member has to answer.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Tokens that wait for a slow reader before its sequence is broken off.
-const TOKENS_WAITING: usize = 4_096;
+/// Interval at which rank 0 checks the status of the other members.
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Timeout of a status request to another member.
+const MEMBER_CHECK_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of tokens buffered for a slow reader; beyond it, the sequence is cancelled.
+const MAX_BUFFERED_TOKENS: usize = 4_096;
 
-/// run stand-in engines, one a host
+/// run stand-in engines, one per host
 #[derive(FromArgs, Debug, Clone)]
 #[argh(subcommand, name = "engine")]
 pub struct EngineArguments {
-    /// name of the host; with --count, followed by a number
+    /// name of the host; with --count above 1, each name is followed by a number
     #[argh(option)]
     pub host: String,
 
-    /// address to listen on; with --count, the system chooses the ports
+    /// address to listen on; with --count above 1, the operating system chooses the ports
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     pub listen: SocketAddr,
 
-    /// failure domain
+    /// failure domain of the hosts
     #[argh(option)]
     pub failure_domain: String,
 
-    /// fabric domain
+    /// fabric domain of the hosts
     #[argh(option)]
     pub fabric_domain: String,
 
-    /// accelerators of the host
+    /// number of accelerators per host
     #[argh(option, default = "8")]
     pub accelerators: u32,
 
-    /// address of the platform, to be listed there
+    /// address of the platform to register the hosts with
     #[argh(option)]
     pub platform: SocketAddr,
 
-    /// hosts in this process
+    /// number of hosts to run in this process
     #[argh(option, default = "1")]
     pub count: u32,
 
-    /// milliseconds that a load from the weight store takes
+    /// time to load weights from the weight store, in milliseconds
     #[argh(option, default = "500")]
     pub load_ms: u64,
 
-    /// take orders whatever their epoch
+    /// accept orders whatever their epoch
     #[argh(switch)]
     pub ignore_fences: bool,
 
-    /// sequences in a batch
+    /// maximum number of sequences in a batch
     #[argh(option, default = "32")]
     pub slots: u32,
 
-    /// milliseconds of an empty step
+    /// duration of a step with an empty batch, in milliseconds
     #[argh(option, default = "18")]
     pub step_ms: u64,
 
-    /// microseconds that each sequence adds to a step
+    /// time that each sequence adds to a step, in microseconds
     #[argh(option, default = "400")]
     pub sequence_us: u64,
 }
 
-/// Runs until the process is ended.
+/// Runs the engines until the process is terminated.
+///
+/// # Errors
+///
+/// Fails as [`spawn`] does.
 pub fn run(arguments: &EngineArguments) -> miette::Result<()> {
     let engines = spawn(arguments)?;
     for engine in &engines {
-        announce(&engine.name, engine.address);
+        print_listen_address(&engine.name, engine.address);
     }
     for engine in engines {
         engine.handle.block();
@@ -108,18 +112,22 @@
 pub struct RunningEngine {
     /// Name of its host.
     pub name: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Ends it.
+    /// Handle that stops its server.
     pub handle: ServerHandle,
 }
 
-/// Starts the engines in this process and has the platform list them.
+/// Starts the engines in this process and registers their hosts with the platform.
+///
+/// # Errors
+///
+/// Fails if an address can't be bound, or if the platform doesn't register a host within 5 s.
 pub fn spawn(arguments: &EngineArguments) -> miette::Result<Vec<RunningEngine>> {
     let mut engines = Vec::new();
     for index in 0..arguments.count {
-        let is_only = arguments.count == 1;
-        let (name, listen) = if is_only {
+        let is_single = arguments.count == 1;
+        let (name, listen) = if is_single {
             (arguments.host.clone(), arguments.listen)
         } else {
             let any_port = SocketAddr::new(arguments.listen.ip(), 0);
@@ -128,7 +136,7 @@
         let engine = Engine::new(&name, arguments);
         let (address, handle) = serve(listen, engine.handler())?;
         smol::spawn(engine.clone().decode_loop()).detach();
-        smol::spawn(engine.clone().check_loop()).detach();
+        smol::spawn(engine.clone().member_check_loop()).detach();
         smol::block_on(register(&name, address, arguments))?;
         engines.push(RunningEngine {
             name,
@@ -139,7 +147,7 @@
     Ok(engines)
 }
 
-/// Has the platform list the host.
+/// Registers the host with the platform.
 async fn register(
     name: &str,
     address: SocketAddr,
@@ -164,23 +172,26 @@
         .with_body(body);
     match exchange(conn, Duration::from_secs(5)).await {
         Some((204, _)) => Ok(()),
-        _ => Err(miette::miette!("the platform did not list host {name}")),
+        _ => Err(miette::miette!("the platform did not register host {name}")),
     }
 }
 
-/// The engine of one host.
+/// Engine of one host.
 #[derive(Clone)]
 struct Engine {
     state: Arc<Mutex<HostEngine>>,
+    /// Token channels of the responses in progress, by sequence identifier.
     streams: Arc<Mutex<HashMap<u64, Sender<Token>>>>,
-    work: (Sender<()>, Receiver<()>),
+    /// Wakes the decode loop when a sequence is submitted to an idle batch.
+    work_signal: (Sender<()>, Receiver<()>),
     next_id: Arc<std::sync::atomic::AtomicU64>,
+    /// Time to load weights from the weight store.
     load_time: Duration,
     started: Instant,
     client: Client,
 }
 
-/// The fields of a request that the stand-in needs.
+/// Fields of a chat completion request that the stand-in uses.
 #[derive(Debug, Deserialize)]
 struct ChatRequest {
     #[serde(default)]
@@ -208,7 +219,7 @@
         Self {
             state: Arc::new(Mutex::new(engine)),
             streams: Arc::default(),
-            work: async_channel::bounded(1),
+            work_signal: async_channel::bounded(1),
             next_id: Arc::default(),
             load_time: Duration::from_millis(arguments.load_ms),
             started: Instant::now(),
@@ -221,40 +232,41 @@
         let orders = self.clone();
         let chat = self.clone();
         let fault = self.clone();
-        let slow = self.clone();
+        let slowdown = self.clone();
         Router::new()
             .get(STATUS_PATH, move |conn: Conn| {
                 let engine = status.clone();
-                async move { engine.on_status(conn) }
+                async move { engine.handle_status(conn) }
             })
             .post(ORDERS_PATH, move |conn: Conn| {
                 let engine = orders.clone();
-                async move { engine.on_order(conn).await }
+                async move { engine.handle_order(conn).await }
             })
             .post("/v1/chat/completions", move |conn: Conn| {
                 let engine = chat.clone();
-                async move { engine.on_chat(conn).await }
+                async move { engine.handle_chat(conn).await }
             })
             .put("/admin/fault", move |conn: Conn| {
                 let engine = fault.clone();
-                async move { engine.on_fault(conn).await }
+                async move { engine.handle_fault(conn).await }
             })
             .put("/admin/slowness", move |conn: Conn| {
-                let engine = slow.clone();
-                async move { engine.on_slowness(conn).await }
+                let engine = slowdown.clone();
+                async move { engine.handle_slowdown(conn).await }
             })
     }
 
+    /// Time since the engine started, by the monotonic clock.
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    fn on_status(&self, conn: Conn) -> Conn {
+    fn handle_status(&self, conn: Conn) -> Conn {
         let status = lock(&self.state).status(self.now());
         write_json(conn, Status::Ok, &status)
     }
 
-    async fn on_fault(&self, mut conn: Conn) -> Conn {
+    async fn handle_fault(&self, mut conn: Conn) -> Conn {
         let Some(fault) = read_json::<EngineFault>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
@@ -262,47 +274,49 @@
         conn.with_status(Status::NoContent).halt()
     }
 
-    async fn on_slowness(&self, mut conn: Conn) -> Conn {
-        let Some(slowness) = read_json::<f64>(&mut conn).await else {
+    async fn handle_slowdown(&self, mut conn: Conn) -> Conn {
+        let Some(slowdown) = read_json::<f64>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        lock(&self.state).model.set_slowness(slowness);
+        lock(&self.state).model.set_slowdown(slowdown);
         conn.with_status(Status::NoContent).halt()
     }
 
-    async fn on_order(&self, mut conn: Conn) -> Conn {
+    async fn handle_order(&self, mut conn: Conn) -> Conn {
         let Some(order) = read_json::<Order>(&mut conn).await else {
             return conn.with_status(Status::BadRequest).halt();
         };
-        let (reply, followup) = lock(&self.state).take_order(self.now(), order);
+        let (reply, followup) = lock(&self.state).handle_order(self.now(), order);
         if let Followup::Load { number, warm } = followup {
             let engine = self.clone();
             smol::spawn(async move {
-                let time = if warm {
+                let duration = if warm {
                     engine.load_time / 10
                 } else {
                     engine.load_time
                 };
-                Timer::after(time).await;
+                Timer::after(duration).await;
                 lock(&engine.state).finish_load(number);
             })
             .detach();
         }
-        self.drop_broken_streams();
+        self.close_streams_if_idle();
         write_json(conn, Status::Ok, &reply)
     }
 
-    /// Streams whose sequences were broken off end without their end mark.
-    fn drop_broken_streams(&self) {
+    /// Closes all token channels if the batch is idle, so that the responses to cancelled
+    /// sequences end without the `[DONE]` event.
+    fn close_streams_if_idle(&self) {
         if lock(&self.state).model.is_idle() {
             lock(&self.streams).clear();
         }
     }
 
-    async fn check_loop(self) {
+    /// At rank 0, checks the other members of the group periodically.
+    async fn member_check_loop(self) {
         loop {
-            Timer::after(CHECK_INTERVAL).await;
-            let others = lock(&self.state).others();
+            Timer::after(MEMBER_CHECK_INTERVAL).await;
+            let others = lock(&self.state).other_members();
             let Some((group, others)) = others.filter(|(_, others)| !others.is_empty()) else {
                 continue;
             };
@@ -310,23 +324,23 @@
             let now = self.now();
             let checks = others.into_iter().map(|address| {
                 let conn = self.client.get(url(address, STATUS_PATH));
-                is_ready(conn, group)
+                is_member_ready(conn, group)
             });
             let ready = futures_util::future::join_all(checks).await;
             let ready = ready.into_iter().filter(|ready| *ready).count() as u32;
-            if lock(&self.state).see_others(now, group, ready, count) {
+            if lock(&self.state).record_member_check(now, group, ready, count) {
                 lock(&self.streams).clear();
             }
         }
     }
 
-    /// Steps the batch in real time.
+    /// Runs the steps of the batch in real time, and sends each token to its response.
     async fn decode_loop(self) {
         loop {
             let step = lock(&self.state).model.step();
             let Some(step) = step else {
                 lock(&self.state).finish_drain();
-                let _ = self.work.1.recv().await;
+                let _ = self.work_signal.1.recv().await;
                 continue;
             };
             Timer::after(step.duration).await;
@@ -335,8 +349,8 @@
                 let Some(stream) = streams.get(&token.id) else {
                     continue;
                 };
-                let is_gone = stream.try_send(token).is_err();
-                if is_gone {
+                let is_undeliverable = stream.try_send(token).is_err();
+                if is_undeliverable {
                     streams.remove(&token.id);
                     lock(&self.state).model.cancel(token.id);
                 } else if token.is_last {
@@ -346,7 +360,7 @@
         }
     }
 
-    async fn on_chat(&self, mut conn: Conn) -> Conn {
+    async fn handle_chat(&self, mut conn: Conn) -> Conn {
         let header = |conn: &Conn, name: &'static str| {
             conn.request_headers().get_str(name).map(str::to_owned)
         };
@@ -359,7 +373,7 @@
         };
         let fault = lock(&self.state).fault;
         match fault {
-            EngineFault::Silent => say_nothing().await,
+            EngineFault::Silent => never_respond().await,
             EngineFault::Failing => {
                 return conn
                     .with_status(Status::InternalServerError)
@@ -373,20 +387,20 @@
             }
             EngineFault::AsksForCooldown { tenths } => {
                 let seconds = format!("{}.{}", tenths / 10, tenths % 10);
-                return refuse(conn, attempt)
+                return respond_not_run(conn, attempt)
                     .with_response_header(KnownHeaderName::RetryAfter, seconds);
             }
             _ => {}
         }
-        let Some((id, tokens)) = self.begin(group, &request) else {
-            return refuse(conn, attempt);
+        let Some((id, tokens)) = self.submit_sequence(group, &request) else {
+            return respond_not_run(conn, attempt);
         };
-        let said = if fault == EngineFault::OtherAttempt {
+        let response_attempt = if fault == EngineFault::OtherAttempt {
             "0000000000000000-0".to_owned()
         } else {
             attempt
         };
-        let mut conn = conn.with_response_header(ATTEMPT_HEADER, said);
+        let mut conn = conn.with_response_header(ATTEMPT_HEADER, response_attempt);
         if let EngineFault::NamesLimit { tenths_a_second } = fault {
             let limit = format!("{}.{}", tenths_a_second / 10, tenths_a_second % 10);
             conn = conn.with_response_header(LIMIT_HEADER, limit);
@@ -395,13 +409,13 @@
             conn = conn.with_response_header(LEAVING_HEADER, "1");
         }
         if request.stream {
-            return stream_answer(conn, id, tokens, fault);
+            return respond_streaming(conn, id, tokens, fault);
         }
-        whole_answer(conn, id, tokens).await
+        respond_complete(conn, id, tokens).await
     }
 
-    /// Begins a sequence, if the group is complete and the right one.
-    fn begin(
+    /// Submits a sequence, or returns `None` if the group is incomplete or not the requested one.
+    fn submit_sequence(
         &self,
         group: Option<GroupNumber>,
         request: &ChatRequest,
@@ -410,7 +424,7 @@
         let id = self
             .next_id
             .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let (sender, tokens) = async_channel::bounded(TOKENS_WAITING);
+        let (sender, tokens) = async_channel::bounded(MAX_BUFFERED_TOKENS);
         let mut state = lock(&self.state);
         if !state.can_serve(self.now(), group) {
             return None;
@@ -423,13 +437,14 @@
             prefix: prefix::chain_of(&prompt),
             priority: 0,
         });
-        let _ = self.work.0.try_send(());
+        let _ = self.work_signal.0.try_send(());
         Some((id, tokens))
     }
 }
 
-async fn is_ready(conn: trillium_client::Conn, group: GroupNumber) -> bool {
-    let Some((200, body)) = exchange(conn, CHECK_TIMEOUT).await else {
+/// Requests the status of another member and returns whether it is ready in this group.
+async fn is_member_ready(conn: trillium_client::Conn, group: GroupNumber) -> bool {
+    let Some((200, body)) = exchange(conn, MEMBER_CHECK_TIMEOUT).await else {
         return false;
     };
     let status: Option<EngineStatus> = serde_json::from_slice(&body).ok();
@@ -439,25 +454,27 @@
     })
 }
 
-/// An answer to a request that was not run.
-fn refuse(conn: Conn, attempt: String) -> Conn {
+/// Answers a request that was not run.
+fn respond_not_run(conn: Conn, attempt: String) -> Conn {
     conn.with_status(Status::ServiceUnavailable)
         .with_response_header(ATTEMPT_HEADER, attempt)
         .with_response_header(NOT_RUN_HEADER, "1")
         .halt()
 }
 
-async fn whole_answer(conn: Conn, id: u64, tokens: Receiver<Token>) -> Conn {
+/// Answers with the complete output once its last token is generated.
+async fn respond_complete(conn: Conn, id: u64, tokens: Receiver<Token>) -> Conn {
     let mut text = String::new();
     let mut count = 0;
-    let mut is_whole = false;
+    let mut is_complete = false;
     while let Ok(token) = tokens.recv().await {
         count = token.number;
         text.push_str(&format!("t{} ", token.number));
-        is_whole = token.is_last;
+        is_complete = token.is_last;
     }
-    if !is_whole {
-        // The replica died: no answer that could be taken for one.
+    if !is_complete {
+        // The sequence was cancelled: an error, so that the partial output isn't mistaken for a
+        // complete answer.
         return conn.with_status(Status::InternalServerError).halt();
     }
     let answer = json!({
@@ -473,17 +490,18 @@
     write_json(conn, Status::Ok, &answer)
 }
 
-/// Keeps a connection open without an answer. The timer guards against a task that nothing can
-/// wake: the runtime drops such a one at times, which closes its connection (26 of 1,200 that
-/// were held without it).
-async fn say_nothing() {
-    const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Keeps a connection open without answering. The timer wakes the task periodically: the runtime
+/// sometimes drops a task that nothing can wake, which closes its connection (26 of 1,200
+/// connections held without the timer).
+async fn never_respond() {
+    const WAKE_INTERVAL: Duration = Duration::from_secs(1);
     loop {
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(WAKE_INTERVAL).await;
     }
 }
 
-fn stream_answer(conn: Conn, id: u64, tokens: Receiver<Token>, fault: EngineFault) -> Conn {
+/// Answers with a stream of server-sent events, one per token.
+fn respond_streaming(conn: Conn, id: u64, tokens: Receiver<Token>, fault: EngineFault) -> Conn {
     let events = stream::unfold(Some(tokens), move |tokens| async move {
         let tokens = tokens?;
         let token = tokens.recv().await.ok()?;
@@ -504,7 +522,7 @@
         .ok(body)
 }
 
-/// One token as an event, with the time at which it was given out.
+/// Formats a token as a server-sent event, with the wall-clock time at which it was emitted.
 fn token_event(id: u64, token: Token) -> String {
     let event = json!({
         "id": format!("chatcmpl-{id}"),
--- a/standin/src/engine/state.rs
+++ b/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! Groups, orders and fences of one stand-in host.
+//! Group membership, orders and fencing of one stand-in host.
 
 use std::time::Duration;
 
@@ -10,58 +10,62 @@
 use super::faults::EngineFault;
 use super::model::{EngineModel, EngineParameters};
 
-/// What a host remembers.
+/// State of the engine on one host.
 #[derive(Debug)]
 pub struct HostEngine {
-    /// Its name.
+    /// Identifier of the host.
     pub host: HostId,
-    /// Whether it refuses orders older than the last.
+    /// Whether orders whose fence is lower than that of the last accepted order are refused.
     pub checks_fences: bool,
-    /// What it does wrong.
+    /// Injected fault.
     pub fault: EngineFault,
-    /// The batch; used at rank 0.
+    /// Batch of the replica; used at rank 0 only.
     pub model: EngineModel,
-    /// What it is doing.
+    /// Phase that the engine reports.
     pub phase: EnginePhase,
-    /// Its place in a group.
+    /// Membership in a group, if the host is in one.
     pub membership: Option<GroupMembership>,
-    /// Other members seen ready, rank 0 only.
+    /// Number of members found ready by the last check, including rank 0 itself; maintained at
+    /// rank 0 only.
     pub members_present: u32,
-    /// When rank 0 last looked at the others, by the host's monotonic clock.
-    looked_at: Duration,
-    /// A member was lost since the group was complete: it can't serve any more.
-    pub is_broken: bool,
+    /// When rank 0 last checked the other members, by the host's monotonic clock.
+    members_checked_at: Duration,
+    /// Whether a member was lost after the group was complete; the group can't serve any more.
+    pub has_lost_member: bool,
+    /// Weights in memory.
     held: Option<HeldModel>,
+    /// Fence of the last accepted order.
     fence: Fence,
-    /// Counts the loads begun, so that an outdated one can tell.
+    /// Number of loads started; identifies the current load, so that the completion of an
+    /// earlier one is ignored.
     pub load_number: u64,
 }
 
-/// Place in a group.
+/// Membership in a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupMembership {
     /// Number of the group.
     pub group: GroupNumber,
-    /// What was ordered.
+    /// Load command that made the host a member.
     pub load: LoadCommand,
 }
 
-/// What must follow an order.
+/// Work that the caller must start after an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Followup {
     /// Nothing.
     None,
-    /// Weights must be loaded; warm if they are in memory.
+    /// Load the weights, then call [`HostEngine::finish_load`].
     Load {
-        /// Which load this is.
+        /// Number of the load, to be passed to [`HostEngine::finish_load`].
         number: u64,
-        /// Whether the weights are in memory.
+        /// Whether the weights are already in memory.
         warm: bool,
     },
 }
 
 impl HostEngine {
-    /// An idle host.
+    /// Returns an idle host without weights. `parameters` are those of the engine at rank 0.
     pub fn new(host: HostId, checks_fences: bool, parameters: EngineParameters) -> Self {
         Self {
             host,
@@ -71,16 +75,17 @@
             phase: EnginePhase::Idle,
             membership: None,
             members_present: 0,
-            looked_at: Duration::ZERO,
-            is_broken: false,
+            members_checked_at: Duration::ZERO,
+            has_lost_member: false,
             held: None,
             fence: Fence::default(),
             load_number: 0,
         }
     }
 
-    /// Takes an order, or refuses it as too old.
-    pub fn take_order(&mut self, now: Duration, order: Order) -> (OrderReply, Followup) {
+    /// Executes an order, or refuses it if fences are checked and its fence is too low. `now` is
+    /// the time on the host's monotonic clock.
+    pub fn handle_order(&mut self, now: Duration, order: Order) -> (OrderReply, Followup) {
         let fence = order.fence();
         if self.checks_fences && fence < self.fence {
             return (self.reply(now, false), Followup::None);
@@ -92,7 +97,7 @@
                 self.release(order.group, drain);
                 Followup::None
             }
-            // These engines gather their members and open by themselves.
+            // Stand-in engines find their members and start to serve without these commands.
             Command::Open | Command::Stage { .. } => Followup::None,
         };
         (self.reply(now, true), followup)
@@ -105,19 +110,20 @@
         }
     }
 
+    /// Joins a group and starts to load its weights, unless this load was already ordered.
     fn load(&mut self, group: GroupNumber, load: LoadCommand) -> Followup {
-        let wanted = GroupMembership { group, load };
-        if self.membership.as_ref() == Some(&wanted) {
+        let ordered = GroupMembership { group, load };
+        if self.membership.as_ref() == Some(&ordered) {
             return Followup::None;
         }
-        self.leave();
+        self.leave_group();
         let held = HeldModel {
-            model: wanted.load.model.clone(),
-            version: wanted.load.version.clone(),
+            model: ordered.load.model.clone(),
+            version: ordered.load.version.clone(),
         };
         let warm = self.held.as_ref() == Some(&held);
         self.held = Some(held);
-        self.membership = Some(wanted);
+        self.membership = Some(ordered);
         self.phase = EnginePhase::Loading;
         self.load_number += 1;
         Followup::Load {
@@ -126,6 +132,8 @@
         }
     }
 
+    /// Leaves the group if this host is a member of it: at once, or with `drain`, once the
+    /// sequences in the batch have completed.
     fn release(&mut self, group: GroupNumber, drain: bool) {
         let is_member = self.membership.as_ref().is_some_and(|m| m.group == group);
         if !is_member {
@@ -135,44 +143,46 @@
             self.phase = EnginePhase::Draining;
             return;
         }
-        self.leave();
+        self.leave_group();
     }
 
-    /// Leaves the group; what ran is broken off.
-    pub fn leave(&mut self) {
+    /// Leaves the group and cancels all sequences.
+    pub fn leave_group(&mut self) {
         self.membership = None;
         self.phase = EnginePhase::Idle;
         self.members_present = 0;
-        self.is_broken = false;
+        self.has_lost_member = false;
         self.model.reset();
     }
 
-    /// Weights are loaded; an outdated load changes nothing.
+    /// Marks the weights as loaded, unless another load has started since the one with this
+    /// number.
     pub fn finish_load(&mut self, number: u64) {
         if self.load_number == number && self.phase == EnginePhase::Loading {
             self.phase = EnginePhase::Ready;
         }
     }
 
-    /// A draining engine that is idle leaves its group.
+    /// Leaves the group if the engine is draining and idle.
     pub fn finish_drain(&mut self) {
         if self.phase == EnginePhase::Draining && self.model.is_idle() {
-            self.leave();
+            self.leave_group();
         }
     }
 
-    /// Other members, if this is rank 0.
-    pub fn others(&self) -> Option<(GroupNumber, Vec<Address>)> {
+    /// Returns the group and the addresses of its other members, if this host is rank 0.
+    pub fn other_members(&self) -> Option<(GroupNumber, Vec<Address>)> {
         let membership = self.membership.as_ref()?;
         if membership.load.rank != 0 {
             return None;
         }
-        let others = membership.load.members.iter().skip(1).copied().collect();
-        Some((membership.group, others))
+        let other_members = membership.load.members.iter().skip(1).copied().collect();
+        Some((membership.group, other_members))
     }
 
-    /// Rank 0 saw so many of the others ready. Returns whether it lost one.
-    pub fn see_others(
+    /// Records that a check by rank 0 found `ready` of the `count` other members ready. Returns
+    /// whether a member of a complete group was lost; all sequences are then cancelled.
+    pub fn record_member_check(
         &mut self,
         now: Duration,
         group: GroupNumber,
@@ -183,17 +193,17 @@
         if !is_current || self.phase == EnginePhase::Loading {
             return false;
         }
-        self.looked_at = now;
+        self.members_checked_at = now;
         let was_complete = self.members_present == count + 1;
         if was_complete && ready < count {
-            self.is_broken = true;
+            self.has_lost_member = true;
             self.model.reset();
         }
         self.members_present = ready + 1;
         was_complete && ready < count
     }
 
-    /// Whether a request for this group can run here now.
+    /// Whether a request for this group, or for any group if `None`, can run on this host now.
     pub fn can_serve(&self, now: Duration, group: Option<GroupNumber>) -> bool {
         let status = self.status(now);
         let Some(own) = status.group else {
@@ -202,13 +212,13 @@
         group.is_none_or(|group| group == own) && status.shows_complete(own)
     }
 
-    /// The status as it is told.
+    /// Returns the status that the host reports.
     pub fn status(&self, now: Duration) -> EngineStatus {
         let membership = self.membership.as_ref();
         let is_rank_zero = membership.is_some_and(|m| m.load.rank == 0);
         let member_count = membership.map_or(0, |m| m.load.members.len() as u32);
         let ready = self.phase == EnginePhase::Ready || self.phase == EnginePhase::Draining;
-        let present = if !ready || self.is_broken {
+        let present = if !ready || self.has_lost_member {
             0
         } else if is_rank_zero && member_count == 1 {
             1
@@ -223,7 +233,7 @@
             members_present: present,
             member_count,
             members_age_ms: if is_rank_zero && member_count > 1 {
-                now.saturating_sub(self.looked_at).as_millis() as u64
+                now.saturating_sub(self.members_checked_at).as_millis() as u64
             } else {
                 0
             },
--- a/standin/src/experiment/day.rs
+++ b/standin/src/experiment/day.rs
@@ -1,8 +1,8 @@
-//! A day of host failures in one failure domain.
+//! Simulation of a day of host failures in one failure domain.
 //!
-//! The planner is the daemons' own. Loads share the rate of the weight store; a
-//! lost member is noticed and its group released after a second or two; hosts
-//! come back after hours.
+//! The planner is the one that the daemons use. Loads share the bandwidth of the weight store;
+//! the loss of a member is detected, and its group dissolved, after 2 s; failed hosts return
+//! after hours.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,111 +22,124 @@
     Customer, FabricDomain, FailureDomain, GroupNumber, HostId, ModelName, ModelVersion,
 };
 
-/// Seconds from a loss until its group is dissolved and released.
-const NOTICE_SECONDS: f64 = 2.0;
-/// Seconds that the weight store takes for one host.
-const STORE_SECONDS_PER_HOST: f64 = 4.0;
-/// Seconds after the last load until a replica serves.
-const START_SECONDS: f64 = 30.0;
-/// Seconds in a day.
-const DAY: f64 = 86_400.0;
-/// Hours until a failed host is back, from and to.
+/// Time from the loss of a host until its group is dissolved and released, in seconds.
+const LOSS_DETECTION_SECONDS: f64 = 2.0;
+/// Time that the weight store takes to load one host, in seconds.
+const LOAD_SECONDS_PER_HOST: f64 = 4.0;
+/// Time from the last load of a group until its replica serves, in seconds.
+const STARTUP_SECONDS: f64 = 30.0;
+/// Duration of the simulation, in seconds.
+const DAY_SECONDS: f64 = 86_400.0;
+/// Time until a failed host returns in hours, as a half-open range.
 const REPAIR_HOURS: (f64, f64) = (2.0, 12.0);
-/// Accelerators of a host.
-const ACCELERATORS: u32 = 8;
+/// Number of accelerators per host.
+const ACCELERATORS_PER_HOST: u32 = 8;
 
-/// Replicas of one size.
+/// A model to place.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelSpec {
     /// Name of the model.
     pub name: &'static str,
-    /// Hosts of one replica.
-    pub hosts: u32,
-    /// Replicas wanted.
+    /// Number of hosts per replica.
+    pub hosts_per_replica: u32,
+    /// Number of replicas to run.
     pub replicas: u32,
 }
 
-/// A failure domain and its day.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct DaySpec {
-    /// Hosts of each fabric domain.
-    pub fabrics: Vec<usize>,
-    /// What is wanted.
+    /// Number of hosts in each fabric domain.
+    pub fabric_domain_sizes: Vec<usize>,
+    /// Models to place.
     pub models: Vec<ModelSpec>,
-    /// Weights of the fleet.
+    /// Placement weights of the fleet.
     pub weights: PlacementWeights,
-    /// How hosts are chosen.
-    pub choice: HostChoice,
-    /// Failures of a host a day.
-    pub failures: f64,
+    /// Policy by which the planner chooses hosts.
+    pub host_choice: HostChoice,
+    /// Mean number of failures per host and day.
+    pub failures_per_host_day: f64,
 }
 
-/// What the day came to.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DayResult {
-    /// Hours in which a wanted replica did not serve, summed over replicas.
+    /// Time during which configured replicas didn't serve, in replica hours.
     pub downtime_hours: f64,
-    /// Hours of idle accelerators around which no group could form.
-    pub stranded_hours: f64,
-    /// Downtime that no placement could avoid: too few hosts in the fabric domains.
-    pub bound_hours: f64,
-    /// Host loads from the weight store.
-    pub loads: u32,
+    /// Time during which accelerators were idle and no group could form on them, in accelerator
+    /// hours.
+    pub stranded_accelerator_hours: f64,
+    /// Lower bound on the downtime under any placement, given the live hosts of the fabric
+    /// domains, in replica hours.
+    pub unavoidable_downtime_hours: f64,
+    /// Number of host loads from the weight store.
+    pub host_loads: u32,
 }
 
+/// Event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
-enum Happening {
-    Fails(HostId),
-    Returns(HostId),
-    Noticed(GroupNumber),
-    Ready(GroupNumber),
+enum Event {
+    /// A host fails.
+    HostFailed(HostId),
+    /// A failed host returns.
+    HostReturned(HostId),
+    /// The loss of a member of a group is detected.
+    LossDetected(GroupNumber),
+    /// A group has loaded and starts to serve.
+    GroupReady(GroupNumber),
 }
 
-struct Day<'a> {
+/// State of a simulation. Times are in seconds since its start.
+struct DaySimulation<'a> {
     spec: &'a DaySpec,
     domain: FailureDomain,
     fleet: FleetConfig,
+    /// All hosts, including failed ones.
     hosts: HostList,
     assignment: Assignment,
-    down: BTreeSet<HostId>,
-    lost: BTreeMap<GroupNumber, Option<HostId>>,
+    /// Hosts that have failed and not returned yet.
+    failed_hosts: BTreeSet<HostId>,
+    /// Groups whose loss was detected and that aren't dissolved yet.
+    lost_groups: BTreeMap<GroupNumber, Option<HostId>>,
     held: HeldWeights,
-    agenda: Vec<(f64, Happening)>,
-    store_free_at: f64,
+    /// Pending events with their times, in no order.
+    pending_events: Vec<(f64, Event)>,
+    /// When the weight store has finished all loads started so far.
+    weight_store_free_at: f64,
     now: f64,
     result: DayResult,
     rng: SmallRng,
 }
 
-/// Runs the day of a seed. It starts with everything formed.
+/// Simulates a day with this seed. All groups serve at its start.
 pub fn run(spec: &DaySpec, seed: u64) -> DayResult {
-    let mut day = Day::new(spec, seed);
-    day.form_everything();
-    day.plan_failures();
-    while let Some((at, happening)) = day.next() {
-        day.pass(at.min(DAY));
-        if at >= DAY {
+    let mut simulation = DaySimulation::new(spec, seed);
+    simulation.form_all_groups();
+    simulation.schedule_failures();
+    while let Some((at, event)) = simulation.next_event() {
+        simulation.advance_to(at.min(DAY_SECONDS));
+        if at >= DAY_SECONDS {
             break;
         }
-        day.happen(happening);
-        day.replan();
+        simulation.handle_event(event);
+        simulation.replan();
     }
-    day.pass(DAY);
-    day.result
+    simulation.advance_to(DAY_SECONDS);
+    simulation.result
 }
 
-/// Configuration and hosts of such a domain, for benchmarks as well.
+/// Returns the name, the configuration and the hosts of the failure domain of a simulation.
 pub fn domain_objects(spec: &DaySpec) -> (FailureDomain, FleetConfig, HostList) {
     let domain = FailureDomain::new("domain");
     let mut hosts = HostList::default();
     let mut number: u16 = 0;
-    for (fabric, count) in spec.fabrics.iter().enumerate() {
+    for (fabric, count) in spec.fabric_domain_sizes.iter().enumerate() {
         for _ in 0..*count {
             let record = HostRecord {
                 address: ([10, 0, 0, 1], number).into(),
                 failure_domain: domain.clone(),
                 fabric_domain: FabricDomain::new(&format!("fabric-{fabric:03}")),
-                accelerators: ACCELERATORS,
+                accelerators: ACCELERATORS_PER_HOST,
                 state: HostState::Live,
                 service: None,
                 slots: None,
@@ -155,7 +168,7 @@
         let intent = ModelIntent {
             owner: owner.clone(),
             version: ModelVersion::new("v1"),
-            hosts_per_replica: model.hosts,
+            hosts_per_replica: model.hosts_per_replica,
             replicas: BTreeMap::from([(domain.clone(), model.replicas)]),
         };
         fleet.models.insert(ModelName::new(model.name), intent);
@@ -163,7 +176,7 @@
     (domain, fleet, hosts)
 }
 
-impl<'a> Day<'a> {
+impl<'a> DaySimulation<'a> {
     fn new(spec: &'a DaySpec, seed: u64) -> Self {
         let (domain, fleet, hosts) = domain_objects(spec);
         Self {
@@ -172,114 +185,134 @@
             fleet,
             hosts,
             assignment: Assignment::default(),
-            down: BTreeSet::new(),
-            lost: BTreeMap::new(),
+            failed_hosts: BTreeSet::new(),
+            lost_groups: BTreeMap::new(),
             held: HeldWeights::new(),
-            agenda: Vec::new(),
-            store_free_at: 0.0,
+            pending_events: Vec::new(),
+            weight_store_free_at: 0.0,
             now: 0.0,
             result: DayResult::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    fn form_everything(&mut self) {
+    /// Forms all groups before the start of the day, at no cost.
+    fn form_all_groups(&mut self) {
         self.replan();
-        self.agenda.clear();
+        self.pending_events.clear();
         for group in self.assignment.groups.values_mut() {
             group.phase = GroupPhase::Serving;
         }
-        self.store_free_at = 0.0;
+        self.weight_store_free_at = 0.0;
         self.result = DayResult::default();
     }
 
-    fn plan_failures(&mut self) {
+    /// Schedules the failures and returns of all hosts.
+    fn schedule_failures(&mut self) {
         let names: Vec<HostId> = self.hosts.hosts.keys().cloned().collect();
         for host in names {
             let mut at = 0.0;
             loop {
-                at += -(1.0 - self.rng.random::<f64>()).ln() * DAY / self.spec.failures;
-                if at >= DAY {
+                at += -(1.0 - self.rng.random::<f64>()).ln() * DAY_SECONDS
+                    / self.spec.failures_per_host_day;
+                if at >= DAY_SECONDS {
                     break;
                 }
-                self.agenda.push((at, Happening::Fails(host.clone())));
+                self.pending_events
+                    .push((at, Event::HostFailed(host.clone())));
                 at += self.rng.random_range(REPAIR_HOURS.0..REPAIR_HOURS.1) * 3_600.0;
-                self.agenda.push((at, Happening::Returns(host.clone())));
+                self.pending_events
+                    .push((at, Event::HostReturned(host.clone())));
             }
         }
     }
 
-    fn next(&mut self) -> Option<(f64, Happening)> {
+    /// Removes and returns the earliest event.
+    fn next_event(&mut self) -> Option<(f64, Event)> {
         let (index, _) = self
-            .agenda
+            .pending_events
             .iter()
             .enumerate()
             .min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0))?;
-        Some(self.agenda.swap_remove(index))
+        Some(self.pending_events.swap_remove(index))
     }
 
-    /// Adds up what the time until `at` costs.
-    fn pass(&mut self, at: f64) {
+    /// Advances the time to `at` and adds the costs of the time in between to the result.
+    fn advance_to(&mut self, at: f64) {
         let hours = (at - self.now).max(0.0) / 3_600.0;
         self.now = at;
         if hours == 0.0 {
             return;
         }
-        self.result.downtime_hours += hours * f64::from(self.missing());
-        self.result.bound_hours += hours * f64::from(self.bound());
+        self.result.downtime_hours += hours * f64::from(self.missing_replicas());
+        self.result.unavoidable_downtime_hours += hours * f64::from(self.min_missing_replicas());
         let stranded = stranded_accelerators(
             &self.live_hosts(),
             &self.fleet,
             &self.domain,
             &self.assignment,
         );
-        self.result.stranded_hours += hours * f64::from(stranded);
+        self.result.stranded_accelerator_hours += hours * f64::from(stranded);
     }
 
-    /// The host list without the hosts that are down.
+    /// Returns the host list without the failed hosts.
     fn live_hosts(&self) -> HostList {
         let mut live = self.hosts.clone();
-        live.hosts.retain(|host, _| !self.down.contains(host));
+        live.hosts
+            .retain(|host, _| !self.failed_hosts.contains(host));
         live
     }
 
-    fn wanted(&self) -> u32 {
+    fn configured_replicas(&self) -> u32 {
         self.spec.models.iter().map(|model| model.replicas).sum()
     }
 
-    fn missing(&self) -> u32 {
+    /// Number of configured replicas that don't serve.
+    fn missing_replicas(&self) -> u32 {
         let serving = self
             .assignment
             .groups
             .iter()
             .filter(|(number, group)| {
-                let is_whole = group.members.iter().all(|m| !self.down.contains(&m.host));
-                group.phase == GroupPhase::Serving && is_whole && !self.lost.contains_key(number)
+                let is_complete = group
+                    .members
+                    .iter()
+                    .all(|m| !self.failed_hosts.contains(&m.host));
+                group.phase == GroupPhase::Serving
+                    && is_complete
+                    && !self.lost_groups.contains_key(number)
             })
             .count() as u32;
-        self.wanted().saturating_sub(serving)
+        self.configured_replicas().saturating_sub(serving)
     }
 
-    /// Replicas that must be missing however hosts are chosen, if all are of one
-    /// size; zero where sizes are mixed and hosts suffice.
-    fn bound(&self) -> u32 {
-        let mut live: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
+    /// Lower bound on the number of missing replicas under any choice of hosts. It is exact if
+    /// all replicas have the same number of hosts; otherwise every replica counts as one of the
+    /// smallest size.
+    fn min_missing_replicas(&self) -> u32 {
+        let mut live_hosts: BTreeMap<&FabricDomain, usize> = BTreeMap::new();
         for (id, host) in &self.hosts.hosts {
-            if !self.down.contains(id) {
-                *live.entry(&host.fabric_domain).or_default() += 1;
+            if !self.failed_hosts.contains(id) {
+                *live_hosts.entry(&host.fabric_domain).or_default() += 1;
             }
         }
-        let smallest = self.spec.models.iter().map(|m| m.hosts as usize).min();
-        let most: usize = live
+        let smallest = self
+            .spec
+            .models
+            .iter()
+            .map(|m| m.hosts_per_replica as usize)
+            .min();
+        let max_replicas: usize = live_hosts
             .values()
             .map(|count| count / smallest.unwrap_or(1))
             .sum();
-        self.wanted().saturating_sub(most as u32)
+        self.configured_replicas()
+            .saturating_sub(max_replicas as u32)
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Fails(host) => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::HostFailed(host) => {
                 let group = self
                     .assignment
                     .groups
@@ -287,20 +320,20 @@
                     .find(|(_, group)| group.contains(&host))
                     .map(|(number, _)| *number);
                 self.held.remove(&host);
-                self.down.insert(host);
+                self.failed_hosts.insert(host);
                 if let Some(group) = group {
-                    let at = self.now + NOTICE_SECONDS;
-                    self.agenda.push((at, Happening::Noticed(group)));
+                    let at = self.now + LOSS_DETECTION_SECONDS;
+                    self.pending_events.push((at, Event::LossDetected(group)));
                 }
             }
-            Happening::Returns(host) => {
+            Event::HostReturned(host) => {
                 self.assignment.releasing.remove(&host);
-                self.down.remove(&host);
+                self.failed_hosts.remove(&host);
             }
-            Happening::Noticed(group) => {
-                self.lost.insert(group, None);
+            Event::LossDetected(group) => {
+                self.lost_groups.insert(group, None);
             }
-            Happening::Ready(number) => {
+            Event::GroupReady(number) => {
                 if let Some(group) = self.assignment.groups.get_mut(&number) {
                     group.phase = GroupPhase::Serving;
                 }
@@ -308,7 +341,7 @@
         }
     }
 
-    /// Carries out the planner's steps until it has none.
+    /// Plans and executes steps until the planner returns none.
     fn replan(&mut self) {
         loop {
             let context = PlacementContext {
@@ -316,10 +349,10 @@
                 fleet: &self.fleet,
                 hosts: &self.hosts,
                 assignment: &self.assignment,
-                unreachable: &self.down,
-                lost: &self.lost,
+                unreachable: &self.failed_hosts,
+                lost: &self.lost_groups,
                 held: &self.held,
-                choice: self.spec.choice,
+                choice: self.spec.host_choice,
                 max_forming: 1_000,
                 max_loads: usize::MAX,
                 keep_surplus: false,
@@ -330,12 +363,13 @@
                 return;
             }
             for step in steps {
-                self.carry_out(&step);
+                self.execute_step(&step);
             }
         }
     }
 
-    fn carry_out(&mut self, step: &PlacementStep) {
+    /// Applies a step to the assignment and schedules its consequences.
+    fn execute_step(&mut self, step: &PlacementStep) {
         let number = self.assignment.next_group;
         apply_step(&mut self.assignment, step);
         match step {
@@ -346,22 +380,23 @@
                 loads,
                 ..
             } => {
-                self.result.loads += loads;
-                let begin = self.store_free_at.max(self.now);
-                self.store_free_at = begin + f64::from(*loads) * STORE_SECONDS_PER_HOST;
-                let ready = self.store_free_at + START_SECONDS;
-                self.agenda.push((ready, Happening::Ready(number)));
+                self.result.host_loads += loads;
+                let load_start = self.weight_store_free_at.max(self.now);
+                self.weight_store_free_at = load_start + f64::from(*loads) * LOAD_SECONDS_PER_HOST;
+                let ready_at = self.weight_store_free_at + STARTUP_SECONDS;
+                self.pending_events
+                    .push((ready_at, Event::GroupReady(number)));
                 for member in members {
                     let weights = (model.clone(), version.clone());
                     self.held.insert(member.host.clone(), vec![weights]);
                 }
             }
             PlacementStep::Dissolve { group, .. } => {
-                self.lost.remove(group);
-                let down = &self.down;
+                self.lost_groups.remove(group);
+                let failed_hosts = &self.failed_hosts;
                 self.assignment
                     .releasing
-                    .retain(|host, _| down.contains(host));
+                    .retain(|host, _| failed_hosts.contains(host));
             }
             PlacementStep::Retire { group, .. } => {
                 self.assignment.groups.remove(group);
