--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,5 +1,4 @@
-//! Stand-in of a plain service: answers with what it was sent, and counts its
-//! calls by key.
+//! Stand-in for a plain service: echoes each request and counts its calls by idempotency key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,60 +7,69 @@
 
 use argh::FromArgs;
 use serde::{Deserialize, Serialize};
-use shalehinge::gateway::intake::KEY_HEADER;
+use shalehinge::gateway::request_input::IDEMPOTENCY_KEY_HEADER;
 use shalehinge::upstream::signal::LEAVING_HEADER;
 use smol::Timer;
 use trillium::{Conn, Handler, KnownHeaderName, Status};
 use trillium_router::Router;
 use trillium_server_common::ServerHandle;
 
-use crate::server::{announce, read_json, serve, write_json};
+use crate::server::{print_listen_address, read_json, serve, write_json};
 
-/// run a stand-in of a plain service
+/// run a stand-in for a plain service
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "service")]
 pub struct ServiceArguments {
-    /// address to listen on; port 0 lets the system choose
+    /// address to listen on; with port 0, the operating system chooses the port
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     pub listen: SocketAddr,
 
-    /// milliseconds before each answer
+    /// delay before each response, in milliseconds
     #[argh(option, default = "5")]
     pub delay_ms: u64,
 }
 
-/// Starts a service in this process.
+/// Starts a service in this process and returns its bound address and its handle.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn spawn(arguments: &ServiceArguments) -> miette::Result<(SocketAddr, ServerHandle)> {
     let delay = Duration::from_millis(arguments.delay_ms);
     serve(arguments.listen, handler(delay))
 }
 
-/// Runs until the process is ended.
+/// Runs the service until the process is terminated.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn run(arguments: &ServiceArguments) -> miette::Result<()> {
     let (address, handle) = spawn(arguments)?;
-    announce("service", address);
+    print_listen_address("service", address);
     handle.block();
     Ok(())
 }
 
-/// What the service says of itself at present.
+/// Fault or upstream signal that the service currently shows; set with `PUT /admin/fault`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceFault {
-    /// Nothing.
+    /// Answers normally.
     #[default]
     None,
-    /// It runs nothing, and asks for a cooldown by this `Retry-After`.
+    /// Rejects every request with status 503 and this `Retry-After` value.
     AsksForCooldown(String),
-    /// It answers well, and says that it is leaving.
+    /// Answers normally, with a header that announces that it is leaving.
     SaysLeaving,
 }
 
-/// Key of calls that were turned away, where calls are counted by key.
-pub const TURNED_AWAY: &str = "turned away";
+/// Key under which `GET /admin/calls` counts the calls rejected with a cooldown.
+pub const REJECTED_CALLS: &str = "turned away";
 
 #[derive(Debug, Default)]
 struct State {
+    /// Number of calls by idempotency key.
     calls: BTreeMap<String, u64>,
     fault: ServiceFault,
 }
@@ -74,24 +82,24 @@
 
 fn handler(delay: Duration) -> impl Handler {
     let state = SharedState::default();
-    let (counted, changed) = (state.clone(), state.clone());
+    let (calls_state, fault_state) = (state.clone(), state.clone());
     let router = Router::new()
         .get("/admin/calls", move |conn: Conn| {
-            let calls = lock(&counted).calls.clone();
+            let calls = lock(&calls_state).calls.clone();
             async move { write_json(conn, Status::Ok, &calls) }
         })
         .put("/admin/fault", move |conn: Conn| {
-            let state = changed.clone();
-            async move { change_fault(conn, state).await }
+            let state = fault_state.clone();
+            async move { set_fault(conn, state).await }
         });
     let echo = move |conn: Conn| {
         let state = state.clone();
-        async move { answer(conn, state, delay).await }
+        async move { echo_call(conn, state, delay).await }
     };
     (router, echo)
 }
 
-async fn change_fault(mut conn: Conn, state: SharedState) -> Conn {
+async fn set_fault(mut conn: Conn, state: SharedState) -> Conn {
     let Some(fault) = read_json::<ServiceFault>(&mut conn).await else {
         return conn.with_status(Status::BadRequest).halt();
     };
@@ -99,13 +107,13 @@
     conn.with_status(Status::NoContent).halt()
 }
 
-async fn answer(mut conn: Conn, state: SharedState, delay: Duration) -> Conn {
+async fn echo_call(mut conn: Conn, state: SharedState, delay: Duration) -> Conn {
     if conn.status().is_some() {
         return conn;
     }
     let fault = lock(&state).fault.clone();
     if let ServiceFault::AsksForCooldown(retry_after) = fault {
-        *lock(&state).calls.entry(TURNED_AWAY.into()).or_default() += 1;
+        *lock(&state).calls.entry(REJECTED_CALLS.into()).or_default() += 1;
         return conn
             .with_status(Status::ServiceUnavailable)
             .with_response_header(KnownHeaderName::RetryAfter, retry_after)
@@ -114,7 +122,7 @@
     if fault == ServiceFault::SaysLeaving {
         conn = conn.with_response_header(LEAVING_HEADER, "1");
     }
-    let key = conn.request_headers().get_str(KEY_HEADER);
+    let key = conn.request_headers().get_str(IDEMPOTENCY_KEY_HEADER);
     let key = key.unwrap_or("without a key").to_owned();
     let Ok(body) = conn.request_body().read_bytes().await else {
         return conn.with_status(Status::BadRequest).halt();
