--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -1,9 +1,9 @@
 //! Tracks the era of the platform's store: which replies are valid in it, and what a new era
 //! resets.
 //!
-//! A store restored from a copy has lost its last writes and assigns their versions again. A reply
-//! of an earlier era is therefore treated as no reply, and a reply to a call that names versions
-//! of an earlier era proves nothing about the writes between the two.
+//! A store restored from a backup has lost its last writes and assigns their versions again. A
+//! reply of an earlier era is therefore treated as no reply, and a reply to a call that names
+//! versions of an earlier era proves nothing about the writes between the two.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 /// Host heartbeats after which hosts known only from an earlier era are dropped: by then each live
 /// host has rewritten its entry.
 const EARLIER_HOSTS_HEARTBEATS: u32 = 4;
-/// Maximum age of a host list of an earlier era that is kept after a restore. The copy that a
-/// store is restored from is some seconds old, so an older list is no newer than the copy.
+/// Maximum age of a host list of an earlier era that is kept after a restore. The backup that a
+/// store is restored from is some seconds old, so an older list is no newer than the backup.
 const EARLIER_LIST_MAX_AGE: Duration = Duration::from_secs(10);
 
 /// A platform call that has not been answered yet.
@@ -75,7 +75,7 @@
             return Ok(reply);
         }
         match reply {
-            // Changes between the copy and the call's revision may be missing.
+            // Changes between the backup and the call's revision may be missing.
             PlatformReply::Objects { .. } => Ok(PlatformReply::HistoryGone(era)),
             // The write's condition may have matched a different value with the same number.
             PlatformReply::Written(_) => Err(NoAnswer),
@@ -124,7 +124,7 @@
         }
         let previous_revision = self.confirmation.map(|known| known.revision.number);
         let text = format!(
-            "restored from a copy: era {from} to {era}, revision {} to {}; listing again{}",
+            "restored from a backup: era {from} to {era}, revision {} to {}; listing again{}",
             previous_revision.map_or("unknown".into(), |number| number.to_string()),
             revision.map_or("unknown".into(), |version| version.number.to_string()),
             if was_holder {
--- a/shalehinge/tests/store_era_answers.rs
+++ b/shalehinge/tests/store_era_answers.rs
@@ -219,7 +219,7 @@
     let line = harness
         .logs
         .iter()
-        .find(|line| line.contains("restored from a copy"));
+        .find(|line| line.contains("restored from a backup: era"));
     assert!(
         line.is_some_and(|line| line.contains("era 1 to 2")),
         "{line:?}"
@@ -281,7 +281,7 @@
     let changes = harness
         .logs
         .iter()
-        .filter(|line| line.contains("restored from a copy"));
+        .filter(|line| line.contains("restored from a backup: era"));
     assert_eq!(changes.count(), 1);
 }
 
