--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -228,17 +228,18 @@
     ) {
         let era = stored.version.era;
         let is_first = stored.version.is_absent() && self.is_in_first_era();
-        let is_copied = stored.value.epoch.is_before(era) && !is_first;
+        let is_restored = stored.value.epoch.is_before(era) && !is_first;
         let known = self.state.assignments().get(&self.identity.failure_domain);
-        let newer_known = known
-            .filter(|known| is_copied && known.assignment_version() > stored.assignment_version());
+        let newer_known = known.filter(|known| {
+            is_restored && known.assignment_version() > stored.assignment_version()
+        });
         let value = newer_known.map_or(stored.value, |known| known.value.clone());
         self.lease.note_epoch(value.epoch);
         let stored = Versioned {
             version: stored.version,
             value,
         };
-        let origin = if is_copied {
+        let origin = if is_restored {
             Origin::Restored
         } else {
             Origin::Current
