--- a/shalehinge/src/core/claims.rs
+++ b/shalehinge/src/core/claims.rs
@@ -1,5 +1,5 @@
 //! Claims of idempotency keys: a request with a key runs at most once, whichever daemons its
-//! client sends it to.
+//! caller sends it to.
 //!
 //! A key is claimed in a partition object of the platform before the request is sent. The write
 //! is conditional, so two daemons never both add the same key. Claims that wait for the same
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A client that sends such a request again uses a new request id, usually at another daemon, so
+//! A caller that sends such a request again uses a new request id, usually at another daemon, so
 //! limits on the attempts per request do not stop it. Daemons therefore count lost attempts by
 //! request fingerprint. Once a request was lost at several upstreams and completed at none, it is
 //! suspected, as are others that ran there at the time. A suspected request is run alone in a
--- a/shalehinge/src/gateway/response.rs
+++ b/shalehinge/src/gateway/response.rs
@@ -23,7 +23,7 @@
 /// Response header with the request's number, which is unique within a run of this daemon.
 pub const REQUEST_HEADER: &str = "x-shalehinge-request";
 
-/// An error response in the JSON form that clients of this API expect.
+/// An error response in the JSON form that callers of this API expect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ErrorResponse {
     /// HTTP status.
