--- a/shalehinge/src/core/controller/departures.rs
+++ b/shalehinge/src/core/controller/departures.rs
@@ -73,7 +73,7 @@
     /// Hosts without a group in the assignment that the list shows in one. They must not be used
     /// until they have left it, even if the list is old: a member that was cut off when its group
     /// was dissolved may be reachable again without having been ordered to leave, while its rank
-    /// 0 is still open. A new holder that considered only newer lists put such a member into
+    /// 0 is still open. A new lease holder that considered only newer lists put such a member into
     /// another group within 100 ms (in one of eight replays of a day with network cuts and a
     /// lease handover).
     pub(super) fn shown_in_a_group(&self, value: &Assignment) -> BTreeMap<HostId, GroupNumber> {
--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -1,4 +1,4 @@
-//! The control lease of the failure domain, and the work of its holder.
+//! The control lease of the failure domain, and the work of the lease holder.
 
 use std::collections::BTreeSet;
 
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -9,7 +9,7 @@
 //! - `peers`: pulls and notices between daemons
 //! - `quarantine`: exchanges reports of requests that crash upstreams
 //! - `relays`: distributes the host list to daemons that don't read it from the platform
-//! - `control`: the control lease of a failure domain, and the work of its holder
+//! - `control`: the control lease of a failure domain, and the work of the lease holder
 //! - `limits`: enforces, over all daemons, the request rates that overloaded upstreams ask for
 //! - `operators`: plan and confirm calls of operators
 //! - `requests`: requests of callers, and the router's actions
--- a/shalehinge/src/core/demand.rs
+++ b/shalehinge/src/core/demand.rs
@@ -2,9 +2,9 @@
 //!
 //! Every daemon counts the requests that arrive at it, whether they are served or refused, and
 //! sends its counts and those of a few other daemons with the messages that daemons exchange
-//! anyway. The holder of a control lease adds up the counts that it received recently. Callers
-//! are spread over the daemons, so that the counts received are a representative sample. Counts
-//! decay exponentially, so that they follow the load of the last seconds.
+//! anyway. The lease holder of a failure domain adds up the counts that it received recently.
+//! Callers are spread over the daemons, so that the counts received are a representative sample.
+//! Counts decay exponentially, so that they follow the load of the last seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/shalehinge/src/core/lease.rs
+++ b/shalehinge/src/core/lease.rs
@@ -1,14 +1,14 @@
 //! The control lease of a failure domain: at most one daemon acts for the domain at a time.
 //!
-//! The holder counts its term from before it sent the write, and stops a safety margin before the
-//! end. A candidate counts a full term from when it last saw the lease change. Both use their own
-//! monotonic clock, so clocks are never compared. The epoch rises with each new holder and serves
-//! as the fencing token of orders to engines.
+//! The lease holder counts its term from before it sent the write, and stops a safety margin before
+//! the end. A candidate counts a full term from when it last saw the lease change. Both use their
+//! own monotonic clock, so clocks are never compared. The epoch rises with each new lease holder
+//! and serves as the fencing token of orders to engines.
 //!
-//! A store that is restored from a backup may have lost the lease, or hold an older one. The
-//! holder stops at once, and may take the lease again without a wait while its former term lasts.
-//! No other daemon takes a lease that is missing or released until a full term after it first saw
-//! the new era: by then the last holder of the previous era has stopped.
+//! A store that is restored from a backup may have lost the lease, or hold an older one. The lease
+//! holder stops immediately, and may take the lease again without a wait while its former term
+//! lasts. No other daemon takes a lease that is missing or released until a full term after it
+//! first saw the new era: by then the last lease holder of the previous era has stopped.
 
 use std::time::Duration;
 
@@ -115,7 +115,7 @@
         self.valid_until
     }
 
-    /// The last known holder, for status pages and for reports to it.
+    /// The last known lease holder, for status pages and for reports to it.
     pub fn holder(&self) -> Option<&DaemonId> {
         let lease = self.observation.as_ref()?.lease.as_ref()?;
         Some(&lease.value.holder)
@@ -217,8 +217,8 @@
         if is_expired || lease.value.released && is_certainly_unheld {
             return self.write(now, version, next_epoch, operation);
         }
-        // A stale answer only delays what this daemon sees of the holder's writes. A lease that
-        // was renewed meanwhile can't be taken, as the write is conditional on this version.
+        // A stale answer only delays what this daemon sees of the lease holder's writes. A lease
+        // that was renewed meanwhile can't be taken, as the write is conditional on this version.
         LeaseStep::Read(Freshness::MayBeStale)
     }
 
@@ -275,8 +275,8 @@
     }
 
     /// Handles an object that is not a lease record, as another writer overwrote it. It counts as
-    /// held by an unknown daemon until it has stayed unchanged for a term: the former holder
-    /// can't renew the lease, so its term is over by then.
+    /// held by an unknown daemon until it has stayed unchanged for a term: the former lease
+    /// holder can't renew the lease, so its term is over by then.
     pub fn on_foreign(&mut self, now: Timestamp, version: Version) {
         self.in_flight = false;
         self.pending = None;
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -47,7 +47,7 @@
     pub leaving: bool,
     /// Version of the configuration in force at the daemon.
     pub fleet: FleetVersion,
-    /// Whether the daemon holds the control lease of its failure domain.
+    /// Whether the daemon is the lease holder of its failure domain.
     #[serde(default)]
     pub holds_control: bool,
 }
@@ -156,13 +156,13 @@
         self.own_heartbeat.revision += 1;
     }
 
-    /// Sets whether peers see this daemon as the holder of control of its failure domain.
+    /// Sets whether peers see this daemon as the lease holder of its failure domain.
     pub fn set_holds_control(&mut self, holds_control: bool) {
         self.own_heartbeat.holds_control = holds_control;
         self.own_heartbeat.revision += 1;
     }
 
-    /// Addresses of the live members that report to hold control of a failure domain.
+    /// Addresses of the live members that report to be the lease holder of a failure domain.
     pub fn holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
         self.live_peers(now)
             .filter(|peer| peer.holds_control && peer.failure_domain == *domain)
@@ -252,7 +252,7 @@
             .into_iter()
             .map(|peer| (&peer.daemon, peer))
             .collect();
-        // Few daemons hold control, and reports of a loss must reach them.
+        // Lease holders are few, and reports of a loss must reach them.
         let holders = self.live_peers(now).filter(|peer| peer.holds_control);
         members.extend(holders.map(|peer| (&peer.daemon, peer)));
         let request = request
--- a/shalehinge/src/core/mod.rs
+++ b/shalehinge/src/core/mod.rs
@@ -17,7 +17,7 @@
 //! - `fingerprint`: content hashes that identify repeated requests
 //! - `fleet_state`: the newest known version of each object; versions never go back
 //! - `membership`, `hash`: which daemons are alive, and which of them performs which duty
-//! - `lease`: the lease that makes one daemon the controller of a failure domain
+//! - `lease`: the lease that makes one daemon the lease holder of a failure domain
 //! - `demand`: the load that callers put on each model
 //! - `controller`, `placement`: which hosts form which replica
 //! - `change`, `operator`: configuration changes that operators plan and confirm
--- a/shalehinge/src/core/objects.rs
+++ b/shalehinge/src/core/objects.rs
@@ -520,15 +520,16 @@
 pub struct LeaseRecord {
     /// The write that stored this value.
     pub operation: OperationId,
-    /// The daemon that holds the lease.
+    /// The lease holder.
     pub holder: DaemonId,
-    /// The run of the holder.
+    /// The run of the lease holder.
     pub incarnation: Incarnation,
-    /// Increases with each new holder; see [`Epoch`].
+    /// Increases with each new lease holder; see [`Epoch`].
     pub epoch: Epoch,
     /// How long a successor must wait after the last change of the record, in milliseconds.
     pub term_ms: u64,
-    /// Whether the holder released the lease on a planned stop, so that a successor need not wait.
+    /// Whether the lease holder released the lease on a planned stop, so that a successor need not
+    /// wait.
     pub released: bool,
 }
 
--- a/shalehinge/src/core/types.rs
+++ b/shalehinge/src/core/types.rs
@@ -79,9 +79,9 @@
 #[serde(transparent)]
 pub struct OperationId(pub u64);
 
-/// Epoch of a control lease; each new holder gets a higher one. Engines use it as a fencing token,
-/// so it must also increase from one store era to the next, even if the lease itself was among
-/// the writes that the store lost.
+/// Epoch of a control lease; each new lease holder gets a higher one. Engines use it as a fencing
+/// token, so it must also increase from one store era to the next, even if the lease itself was
+/// among the writes that the store lost.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -89,7 +89,8 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// Number of epochs reserved for each era. With a new holder every second they last 12 days.
+    /// Number of epochs reserved for each era. With a new lease holder every second they last
+    /// 12 days.
     const PER_ERA: u64 = 1 << 20;
 
     /// The first epoch of an era; it is higher than all epochs of earlier eras.
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -70,7 +70,7 @@
     pub free_hosts: usize,
     /// Idle accelerators on hosts that can't form a complete group.
     pub stranded_accelerators: u32,
-    /// Holder of the control lease; known only for the responding daemon's own failure domain.
+    /// Lease holder; known only for the responding daemon's own failure domain.
     pub holder: Option<DaemonId>,
     /// Host groups of the failure domain.
     pub groups: Vec<GroupStatus>,
--- a/shalehinge/src/settings/lease.rs
+++ b/shalehinge/src/settings/lease.rs
@@ -9,9 +9,10 @@
 pub struct LeaseSettings {
     /// How long a candidate must see the lease unchanged before it may take it.
     pub term: Duration,
-    /// How much earlier than `term` the holder stops acting; covers differences in clock rates.
+    /// How much earlier than `term` the lease holder stops acting; covers differences in clock
+    /// rates.
     pub margin: Duration,
-    /// Time between two renewals by the holder, or two reads by a candidate.
+    /// Time between two renewals by the lease holder, or two reads by a candidate.
     pub interval: Duration,
 }
 
