--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -146,7 +146,7 @@
             // The lease holder need not be a candidate any more.
             let membership = &self.membership;
             let mut recipients: BTreeSet<Address> = membership
-                .holder_addresses(now, domain)
+                .lease_holder_addresses(now, domain)
                 .into_iter()
                 .collect();
             recipients.extend(membership.responsible_addresses(
--- a/shalehinge/src/core/daemon/store_era.rs
+++ b/shalehinge/src/core/daemon/store_era.rs
@@ -111,7 +111,7 @@
             return;
         }
         let from = self.era_state.current.replace(era);
-        let was_holder = self.lease.held(now).is_some();
+        let was_lease_holder = self.lease.held(now).is_some();
         self.lease.note_era(now, era, self.identity.is_first_start);
         let Some(from) = from.filter(|from| *from != StoreEra::UNREPORTED) else {
             return;
@@ -127,7 +127,7 @@
             "restored from a backup: era {from} to {era}, revision {} to {}; listing again{}",
             previous_revision.map_or("unknown".into(), |number| number.to_string()),
             revision.map_or("unknown".into(), |version| version.number.to_string()),
-            if was_holder {
+            if was_lease_holder {
                 ", control of the failure domain given up"
             } else {
                 ""
--- a/shalehinge/src/core/membership.rs
+++ b/shalehinge/src/core/membership.rs
@@ -163,7 +163,7 @@
     }
 
     /// Addresses of the live members that report to be the lease holder of a failure domain.
-    pub fn holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
+    pub fn lease_holder_addresses(&self, now: Timestamp, domain: &FailureDomain) -> Vec<Address> {
         self.live_peers(now)
             .filter(|peer| peer.holds_control && peer.failure_domain == *domain)
             .map(|peer| peer.address)
@@ -253,8 +253,8 @@
             .map(|peer| (&peer.daemon, peer))
             .collect();
         // Lease holders are few, and reports of a loss must reach them.
-        let holders = self.live_peers(now).filter(|peer| peer.holds_control);
-        members.extend(holders.map(|peer| (&peer.daemon, peer)));
+        let lease_holders = self.live_peers(now).filter(|peer| peer.holds_control);
+        members.extend(lease_holders.map(|peer| (&peer.daemon, peer)));
         let request = request
             .filter(|request| request.sender.failure_domain == self.own_heartbeat.failure_domain);
         if let Some(request) = request {
--- a/shalehinge/tests/membership.rs
+++ b/shalehinge/tests/membership.rs
@@ -53,7 +53,10 @@
     membership.merge(at(1), gossip(peers.collect()));
     membership.merge(at(1), gossip(vec![heartbeat(30, "other", 1, true)]));
     let domain = FailureDomain::new("d");
-    assert_eq!(membership.holder_addresses(at(1), &domain), [address(7)]);
+    assert_eq!(
+        membership.lease_holder_addresses(at(1), &domain),
+        [address(7)]
+    );
 }
 
 #[test]
@@ -62,7 +65,7 @@
     membership.merge(at(1), gossip(vec![heartbeat(7, "d", 1, true)]));
     membership.merge(at(2), gossip(vec![heartbeat(7, "d", 2, false)]));
     let domain = FailureDomain::new("d");
-    assert_eq!(membership.holder_addresses(at(2), &domain), []);
+    assert_eq!(membership.lease_holder_addresses(at(2), &domain), []);
 }
 
 #[test]
@@ -71,7 +74,7 @@
     membership.merge(at(1), gossip(vec![heartbeat(7, "d", 1, true)]));
     let domain = FailureDomain::new("d");
     let later = at(1) + MembershipSettings::default().dead_after;
-    assert_eq!(membership.holder_addresses(later, &domain), []);
+    assert_eq!(membership.lease_holder_addresses(later, &domain), []);
 }
 
 /// Simulated daemons that each pull from one peer per second, in lock step.
@@ -186,5 +189,8 @@
     };
     membership.merge(at(1), gossip(vec![late]));
     let domain = FailureDomain::new("d");
-    assert_eq!(membership.holder_addresses(at(1), &domain), [address(7)]);
+    assert_eq!(
+        membership.lease_holder_addresses(at(1), &domain),
+        [address(7)]
+    );
 }
