--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -299,7 +299,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Finds the service for a proxied request.
+    /// Finds the service for a relayed request.
     ///
     /// # Errors
     ///
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -127,8 +127,8 @@
             .any(|answered_at| now.since(answered_at) < FRESH)
     }
 
-    /// Reports replicas that may have lost a member to the possible lease holders of
-    /// their failure domain.
+    /// Reports replicas that may have lost a member to the possible lease holders of their failure
+    /// domain.
     pub(super) fn report_suspects(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if now < self.next_suspect_report_at {
             return;
