--- a/scripts/red-runs.py
+++ b/scripts/red-runs.py
@@ -225,8 +225,8 @@
     ),
     "a-suspect-is-tried": (
         CORE + "router/refusal.rs",
-        "Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,",
-        "Evidence::Suspected => held.last_lost_at + settings.quarantine_for,",
+        "Evidence::Suspected => quarantined.last_lost_at + MIN_TRIAL_DELAY,",
+        "Evidence::Suspected => quarantined.last_lost_at + settings.quarantine_for,",
         "quarantine_harmless", "are_served_again_soon",
     ),
     "one-trial-at-a-time": (
@@ -327,8 +327,8 @@
     ),
     "not-sent-out-of-the-line": (
         CORE + "router/refusal.rs",
-        "held.filter(|held| !is_tried || held.evidence == Evidence::Proven)",
-        "held.filter(|held| is_tried && held.evidence == Evidence::Proven)",
+        "quarantined.filter(|quarantined| !is_tried || quarantined.evidence == Evidence::Proven)",
+        "quarantined.filter(|quarantined| is_tried && quarantined.evidence == Evidence::Proven)",
         "router", "while_the_same_one",
     ),
     "an-answer-ends-a-quarantine": (
--- a/shalehinge/src/core/daemon/limits.rs
+++ b/shalehinge/src/core/daemon/limits.rs
@@ -119,23 +119,23 @@
     /// Sends a limits notice to daemons. If this daemon is among them, its copy is queued for
     /// [`Self::process_own_limit_notices`].
     fn send_limits(&mut self, to: Vec<Address>, limits: LimitsNotice, out: &mut Vec<Action>) {
-        let me = self.identity.address;
+        let own_address = self.identity.address;
         let notice = Notice {
             limits,
             ..self.notice()
         };
-        let peers = to.iter().copied().filter(|address| *address != me);
+        let peers = to.iter().copied().filter(|address| *address != own_address);
         send_notice(peers.collect(), &notice, out);
-        if to.contains(&me) {
+        if to.contains(&own_address) {
             self.own_limit_notices.push(notice.limits);
         }
     }
 
     /// Processes the limit notices that this daemon addressed to itself.
     pub(super) fn process_own_limit_notices(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let me = self.identity.address;
+        let own_address = self.identity.address;
         for limits in std::mem::take(&mut self.own_limit_notices) {
-            self.on_limits_notice(now, me, limits, out);
+            self.on_limits_notice(now, own_address, limits, out);
         }
     }
 
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -403,7 +403,7 @@
         self.tick_claims(now, out);
         self.tick_router(now, out);
         self.report_suspects(now, out);
-        self.send_quarantine_news(now, out);
+        self.send_quarantine_update(now, out);
         self.tick_limits(now, out);
         self.finish_stop(out);
     }
--- a/shalehinge/src/core/daemon/quarantine.rs
+++ b/shalehinge/src/core/daemon/quarantine.rs
@@ -40,17 +40,20 @@
     }
 }
 
-fn report_from_news(now: Timestamp, news: QuarantineUpdate) -> QuarantineReport {
-    let losses = news.losses.into_iter().map(|loss| LossReport {
+fn report_from_update(now: Timestamp, update: QuarantineUpdate) -> QuarantineReport {
+    let losses = update.losses.into_iter().map(|loss| LossReport {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
         ms_ago: now.millis_since(loss.at),
     });
-    let completions = news.completions.iter().map(|completion| CompletionReport {
-        fingerprint: completion.fingerprint,
-        ms_ago: now.millis_since(completion.at),
-    });
-    let quarantined = news.quarantined.iter();
+    let completions = update
+        .completions
+        .iter()
+        .map(|completion| CompletionReport {
+            fingerprint: completion.fingerprint,
+            ms_ago: now.millis_since(completion.at),
+        });
+    let quarantined = update.quarantined.iter();
     QuarantineReport {
         losses: losses.collect(),
         quarantined: quarantined
@@ -63,7 +66,7 @@
 
 /// Converts the ages in a report to times of this daemon. Times before its start are set to the
 /// start.
-fn news_from_report(now: Timestamp, report: QuarantineReport) -> QuarantineUpdate {
+fn update_from_report(now: Timestamp, report: QuarantineReport) -> QuarantineUpdate {
     let losses = report.losses.into_iter().map(|loss| Loss {
         fingerprint: loss.fingerprint,
         upstream: loss.upstream,
@@ -92,20 +95,20 @@
 
 impl Daemon {
     /// Sends new losses to the daemons that count them, and all other new findings to all daemons.
-    pub(super) fn send_quarantine_news(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        let news = self.router.take_quarantine_update(now);
-        if news.is_empty() {
+    pub(super) fn send_quarantine_update(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        let update = self.router.take_quarantine_update(now);
+        if update.is_empty() {
             return;
         }
-        self.end_trials(&news);
-        let losses = news.losses.clone();
+        self.end_trials(&update);
+        let losses = update.losses.clone();
         let for_all_peers = QuarantineUpdate {
             losses: Vec::new(),
-            ..news
+            ..update
         };
         if !for_all_peers.is_empty() {
             let peers = self.membership.live_peers(now).map(|peer| peer.address);
-            self.send_quarantine(peers.collect(), report_from_news(now, for_all_peers), out);
+            self.send_quarantine(peers.collect(), report_from_update(now, for_all_peers), out);
         }
         if !losses.is_empty() {
             let for_counters = QuarantineUpdate {
@@ -114,7 +117,7 @@
             };
             self.send_quarantine(
                 self.loss_counters(now),
-                report_from_news(now, for_counters),
+                report_from_update(now, for_counters),
                 out,
             );
         }
@@ -218,11 +221,11 @@
 
     /// Ends the trials of requests that are proven to crash upstreams or were cleared by
     /// completing.
-    fn end_trials(&mut self, news: &QuarantineUpdate) {
-        let proven = news.quarantined.iter();
+    fn end_trials(&mut self, update: &QuarantineUpdate) {
+        let proven = update.quarantined.iter();
         let proven = proven.filter(|entry| entry.evidence == Evidence::Proven);
         let ended = proven.map(|entry| entry.fingerprint);
-        let cleared = news
+        let cleared = update
             .completions
             .iter()
             .map(|completion| completion.fingerprint);
@@ -264,10 +267,10 @@
         report: QuarantineReport,
         out: &mut Vec<Action>,
     ) {
-        let news = news_from_report(reported_at, report);
-        self.end_trials(&news);
+        let update = update_from_report(reported_at, report);
+        self.end_trials(&update);
         let mut actions = Vec::new();
-        self.router.apply_quarantine_update(news, &mut actions);
+        self.router.apply_quarantine_update(update, &mut actions);
         self.handle_router_actions(now, actions, out);
     }
 
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -103,9 +103,9 @@
 impl Record {
     fn last_at(&self) -> Timestamp {
         let crashed_at = self.crashes.last().map(|(_, at)| *at);
-        let held_at = self.quarantined.map(|held| held.last_lost_at);
+        let last_lost_at = self.quarantined.map(|known| known.last_lost_at);
         crashed_at
-            .max(held_at)
+            .max(last_lost_at)
             .max(self.completed_at)
             .unwrap_or_default()
     }
@@ -204,7 +204,7 @@
             last_lost_at: at,
             evidence: record
                 .quarantined
-                .map_or(Evidence::Suspected, |held| held.evidence),
+                .map_or(Evidence::Suspected, |known| known.evidence),
         };
         record.quarantined = Some(quarantined);
         self.update.quarantined.push(quarantined);
@@ -216,7 +216,7 @@
         let record = self.records.entry(loss.fingerprint).or_default();
         let first_lost_at = record
             .quarantined
-            .map_or(loss.at, |held| held.first_lost_at);
+            .map_or(loss.at, |known| known.first_lost_at);
         let quarantined = Quarantined {
             fingerprint: loss.fingerprint,
             first_lost_at,
@@ -285,9 +285,9 @@
         let record = self.records.entry(fingerprint).or_default();
         let known = record.quarantined;
         let is_new = known.is_none_or(|known| quarantined.evidence > known.evidence);
-        let later = known.is_none_or(|known| quarantined.last_lost_at > known.last_lost_at);
+        let is_later = known.is_none_or(|known| quarantined.last_lost_at > known.last_lost_at);
         let is_weaker = known.is_some_and(|known| quarantined.evidence < known.evidence);
-        if is_new || (later && !is_weaker) {
+        if is_new || (is_later && !is_weaker) {
             record.quarantined = Some(quarantined);
         }
         is_new
--- a/shalehinge/src/core/router/refusal.rs
+++ b/shalehinge/src/core/router/refusal.rs
@@ -46,10 +46,13 @@
         ..
     } = context;
     let meta = &pending.meta;
-    let held = context.quarantine.active(now, meta.fingerprint, settings);
+    let quarantined = context.quarantine.active(now, meta.fingerprint, settings);
     let is_tried = matches!(pending.trial, TrialState::At(_));
-    if let Some(held) = held.filter(|held| !is_tried || held.evidence == Evidence::Proven) {
-        let retry_after = retry_after_of(now, &held, settings).unwrap_or(SUSPECT_RETRY_AFTER);
+    if let Some(quarantined) =
+        quarantined.filter(|quarantined| !is_tried || quarantined.evidence == Evidence::Proven)
+    {
+        let retry_after =
+            retry_after_of(now, &quarantined, settings).unwrap_or(SUSPECT_RETRY_AFTER);
         return Some((NotRunReason::Quarantined, retry_after));
     }
     let has_waited = now > pending.arrived_at;
@@ -99,12 +102,12 @@
 /// it may be tried now.
 fn retry_after_of(
     now: Timestamp,
-    held: &Quarantined,
+    quarantined: &Quarantined,
     settings: &RouterSettings,
 ) -> Option<Duration> {
-    let until = match held.evidence {
-        Evidence::Suspected => held.last_lost_at + MIN_TRIAL_DELAY,
-        Evidence::Proven => held.last_lost_at + settings.quarantine_for,
+    let until = match quarantined.evidence {
+        Evidence::Suspected => quarantined.last_lost_at + MIN_TRIAL_DELAY,
+        Evidence::Proven => quarantined.last_lost_at + settings.quarantine_for,
     };
     (now < until).then(|| until.since(now).min(MAX_RETRY_AFTER))
 }
@@ -115,16 +118,16 @@
         let Some(state) = self.targets.get(&meta.target) else {
             return Some((NotRunReason::UnknownTarget, MAX_RETRY_AFTER));
         };
-        let held = self
+        let quarantined = self
             .quarantine
             .active(now, meta.fingerprint, &self.settings);
-        if let Some(held) = held {
-            if let Some(left) = retry_after_of(now, &held, &self.settings) {
+        if let Some(quarantined) = quarantined {
+            if let Some(left) = retry_after_of(now, &quarantined, &self.settings) {
                 return Some((NotRunReason::Quarantined, left));
             }
             // A trial may crash another upstream, so it waits until those that crashed have
             // returned.
-            let may_wait = now < held.last_lost_at + MAX_TRIAL_DELAY;
+            let may_wait = now < quarantined.last_lost_at + MAX_TRIAL_DELAY;
             if may_wait && state.recent_capacity.is_below_recent(state.present(now)) {
                 return Some((NotRunReason::Quarantined, SUSPECT_RETRY_AFTER));
             }
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -104,12 +104,12 @@
         let Some(check) = self.pending_checks.get(upstream) else {
             return false;
         };
-        let of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
-        let is_there = check.losses.iter().any(|loss| of_request(&loss));
-        let elsewhere = self.pending_checks.values().flat_map(|known| &known.losses);
+        let is_of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
+        let is_lost_at_upstream = check.losses.iter().any(|loss| is_of_request(&loss));
+        let all_losses = self.pending_checks.values().flat_map(|known| &known.losses);
         let crashes =
-            self.quarantine.crashes(subject.fingerprint) + elsewhere.filter(of_request).count();
-        is_there && crashes >= self.settings.quarantine_after as usize
+            self.quarantine.crashes(subject.fingerprint) + all_losses.filter(is_of_request).count();
+        is_lost_at_upstream && crashes >= self.settings.quarantine_after as usize
     }
 
     /// Holds back the outcome of a request until the upstream has been checked.
@@ -186,11 +186,11 @@
                 out.push(no_longer_quarantined(completion.fingerprint));
             }
         }
-        for held in update.quarantined {
-            if self.quarantine.apply_remote_quarantine(held) {
-                out.push(match held.evidence {
-                    Evidence::Suspected => quarantined(held.fingerprint),
-                    Evidence::Proven => proven(held.fingerprint),
+        for entry in update.quarantined {
+            if self.quarantine.apply_remote_quarantine(entry) {
+                out.push(match entry.evidence {
+                    Evidence::Suspected => quarantined(entry.fingerprint),
+                    Evidence::Proven => proven(entry.fingerprint),
                 });
             }
         }
