--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -211,22 +211,18 @@
         }
         let body = conn.request_body().with_max_len(MAX_BODY_BYTES);
         let Ok(body) = body.read_bytes().await else {
-            return respond_with_error(conn, Status::BadRequest, "failed to read the request body");
+            return respond_with_error(conn, Status::BadRequest, "the body can't be read");
         };
         let call = match parse(&body) {
             Ok(call) => call,
             Err(error) => {
-                let message = format!("invalid request body: {error}");
+                let message = format!("the body can't be read: {error}");
                 return respond_with_error(conn, Status::BadRequest, &message);
             }
         };
         match self.driver.execute_operator_call(call).await {
             Some(answer) => write_json(conn, &answer),
-            None => respond_with_error(
-                conn,
-                Status::ServiceUnavailable,
-                "the daemon is shutting down",
-            ),
+            None => respond_with_error(conn, Status::ServiceUnavailable, "the daemon is stopping"),
         }
     }
 
