--- a/shalehinge/src/core/router/limits.rs
+++ b/shalehinge/src/core/router/limits.rs
@@ -24,11 +24,11 @@
             .filter_map(|upstream| Some((&upstream.spec.id, upstream.limit.rate()?)))
     }
 
-    /// Applies a limit reported by another daemon at `told_at`.
+    /// Applies a limit reported by another daemon at `reported_at`.
     pub fn apply_reported_limit(
         &mut self,
         now: Timestamp,
-        told_at: Timestamp,
+        reported_at: Timestamp,
         report: &LimitReport,
         rng: &mut impl rand::Rng,
         out: &mut Vec<RouterAction>,
@@ -39,7 +39,7 @@
         if EngineStart::differ(upstream.spec.started, report.started) {
             return;
         }
-        let as_of = told_at.minus(Duration::from_millis(report.ms_ago));
+        let as_of = reported_at.minus(Duration::from_millis(report.ms_ago));
         let Some(change) = upstream.limit.set(as_of, report.rate) else {
             return;
         };
