--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -99,20 +99,30 @@
 /// interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallPurpose {
+    /// Orders a member of the group to load its model.
     Load(GroupNumber),
+    /// Asks a member of the group for its status.
     Probe(GroupNumber),
+    /// Orders a host of a retiring or dissolved group to leave it, if need be after its requests.
     Release(GroupNumber),
+    /// Orders rank 0 of the group to accept requests.
     Open(GroupNumber),
+    /// Orders a host to leave the group without waiting for requests.
     Leave(GroupNumber),
+    /// Orders a host to stage the weights of a second model.
     Stage,
+    /// Orders a free host to hold the weights of a model in memory.
     Prime,
 }
 
 /// Health of a group, as far as it is known.
 #[derive(Clone, Debug, Default)]
 struct GroupHealth {
+    /// Time since which the group appears incomplete; `None` if it appears complete.
     incomplete_since: Option<Timestamp>,
+    /// The member whose loss was found, if it is known.
     lost_member: Option<HostId>,
+    /// The group lost a member or failed to form, so it will be dissolved.
     is_lost: bool,
     /// A probe showed the loss, so the group no longer makes progress. A group that only
     /// disappeared from the host list may still finish its requests.
@@ -148,34 +158,50 @@
 #[derive(Clone, Debug)]
 pub struct Controller {
     settings: ControlSettings,
+    /// Failure domain that is controlled.
     domain: FailureDomain,
+    /// Epoch of the lease; `None` while no lease is held.
     epoch: Option<Epoch>,
+    /// The stored assignment, as last read or written.
     stored: Option<Versioned<Assignment>>,
+    /// The assignment that is being written.
     pending: Option<Assignment>,
     /// Origin of the stored assignment.
     origin: Origin,
+    /// Whether a read or write of the assignment is in flight.
     in_flight: bool,
+    /// The last status of each host, for engines that report their progress.
     observed: BTreeMap<HostId, EngineStatus>,
     /// The last group that the engine of each host confirmed to have left.
     released: BTreeMap<HostId, GroupNumber>,
+    /// Health of each group of the assignment.
     health: BTreeMap<GroupNumber, GroupHealth>,
+    /// Hosts that left orders or probes unanswered, with the time at which this was first (for
+    /// engines that join by order) or last observed.
     unreachable: BTreeMap<HostId, Timestamp>,
     /// Hosts that left an order or a probe unanswered, with the time of their next probe.
     next_probe_at: BTreeMap<HostId, Timestamp>,
+    /// Whether missing answers are evidence against hosts or against this daemon.
     own_connectivity: OwnConnectivity,
     /// Log lines for decisions made between two ticks.
     log_lines: Vec<String>,
     /// Time at which each host last answered an order or a probe.
     answered_at: BTreeMap<HostId, Timestamp>,
+    /// Purpose of the last call to each host, and the time before which it is not repeated.
     next_call_at: BTreeMap<HostId, (CallPurpose, Timestamp)>,
+    /// Time since which each retiring group is known to be retiring.
     retiring_since: BTreeMap<GroupNumber, Timestamp>,
+    /// Time since which each forming group is known to be forming.
     forming_since: BTreeMap<GroupNumber, Timestamp>,
     /// Addresses from the host list, also for hosts that are no longer in any group.
     addresses: BTreeMap<HostId, Address>,
     /// Time at which this daemon first read the assignment.
     stored_seen_at: Option<Timestamp>,
+    /// State of the host list at the last tick.
     list_state: HostListState,
+    /// The last listed state of each host of the failure domain.
     listed: BTreeMap<HostId, ListedHost>,
+    /// Version of the host list that `listed` reflects.
     listed_version: Version,
     /// Kept while no lease is held, because an outage of the platform ends the lease.
     list_outage: ListOutage,
@@ -183,6 +209,7 @@
     last_host_added_at: Option<Timestamp>,
     /// Time since which rank 0 of a dissolved group cannot make progress, because a member left.
     stalled_since: BTreeMap<GroupNumber, Timestamp>,
+    /// Replica counts of the model services.
     plans: ServicePlans,
     /// Replicas that the arriving work keeps busy; empty while too little work was sampled.
     replica_demand: ReplicaDemand,
@@ -191,6 +218,7 @@
     /// Whether a member of a suspected group became silent since routers were last asked which
     /// groups produce output.
     asks_recent_output: bool,
+    /// Limits the rate of loads from the weight store.
     load_budget: LoadBudget,
     /// Kept while no lease is held, because crashes do not depend on the assignment.
     load_crashes: LoadCrashes,
--- a/shalehinge/src/core/controller/ordered.rs
+++ b/shalehinge/src/core/controller/ordered.rs
@@ -39,7 +39,9 @@
 /// The last listed state of a host.
 #[derive(Clone, Debug)]
 pub(super) struct ListedHost {
+    /// The host entry, as last listed.
     pub(super) record: HostRecord,
+    /// Whether the current list contains the host.
     pub(super) is_listed: bool,
 }
 
@@ -138,10 +140,12 @@
         }
     }
 
+    /// The last listed status of a host, if any.
     pub(super) fn status(&self, host: &HostId) -> Option<&EngineStatus> {
         self.listed.get(host)?.record.status.as_ref()
     }
 
+    /// Whether the current list contains the host.
     pub(super) fn is_listed(&self, host: &HostId) -> bool {
         self.listed.get(host).is_some_and(|host| host.is_listed)
     }
@@ -563,12 +567,15 @@
         }
     }
 
+    /// Whether a host may be called now for this purpose.
     pub(super) fn is_call_due(&self, now: Timestamp, host: &HostId, purpose: CallPurpose) -> bool {
         self.next_call_at
             .get(host)
             .is_none_or(|(last, at)| *last != purpose || now >= *at)
     }
 
+    /// Records a call to a host, which is not repeated for the same purpose within the order
+    /// interval.
     pub(super) fn record_call(&mut self, now: Timestamp, host: &HostId, purpose: CallPurpose) {
         let next = now + self.settings.order_interval;
         self.next_call_at.insert(host.clone(), (purpose, next));
--- a/shalehinge/src/core/controller/service_plan.rs
+++ b/shalehinge/src/core/controller/service_plan.rs
@@ -28,6 +28,7 @@
 /// A service with its models and hosts.
 #[derive(Clone, Debug)]
 pub(super) struct ServicePlan {
+    /// Service that is planned.
     service: ServiceName,
     /// Models of the service, with replica counts for this failure domain.
     pub(super) fleet: FleetConfig,
@@ -54,11 +55,17 @@
 /// Plans of all services, recomputed when their inputs change.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePlans {
+    /// Versions of the configuration and of the host list that were planned last.
     planned_versions: (FleetVersion, Version),
+    /// Unreachable hosts at that time.
     planned_unreachable: BTreeSet<HostId>,
+    /// Existing replicas at that time.
     planned_existing: ReplicaCounts,
+    /// Target of this failure domain for each service.
     shares: BTreeMap<ServiceName, DomainShare>,
+    /// Models for which no failure domain has enough hosts.
     without_room: Vec<ModelName>,
+    /// The plan of each service.
     plans: Vec<ServicePlan>,
 }
 
@@ -134,6 +141,7 @@
             .collect()
     }
 
+    /// All plans, one for each service.
     pub(super) fn iter(&self) -> impl Iterator<Item = &ServicePlan> {
         self.plans.iter()
     }
--- a/shalehinge/src/core/router/capacity.rs
+++ b/shalehinge/src/core/router/capacity.rs
@@ -10,7 +10,9 @@
 /// The highest number of upstreams that a target had recently.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecentCapacity {
+    /// The highest number observed.
     max_present: usize,
+    /// When it was last observed.
     seen_at: Timestamp,
 }
 
--- a/shalehinge/src/core/router/cooldown.rs
+++ b/shalehinge/src/core/router/cooldown.rs
@@ -26,6 +26,7 @@
 /// The cooldown state of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Cooldown {
+    /// When the cooldown ends.
     until: Timestamp,
     /// When an answer last requested a cooldown.
     requested_at: Timestamp,
@@ -35,8 +36,11 @@
     is_recovering: bool,
     /// A request sent since the cooldown was requested is in flight.
     has_probe_in_flight: bool,
+    /// Number of probes that may still be sent during the cooldown.
     probes_left: u32,
+    /// When the next probe may be sent.
     next_probe_at: Timestamp,
+    /// The last requested cooldown was not a valid duration.
     is_unreadable: bool,
 }
 
--- a/shalehinge/src/core/router/dispatch.rs
+++ b/shalehinge/src/core/router/dispatch.rs
@@ -73,20 +73,31 @@
 /// The router of one daemon.
 #[derive(Clone, Debug)]
 pub struct Router {
+    /// Settings of the router.
     pub(super) settings: RouterSettings,
+    /// The run of this daemon, which is part of its attempt ids.
     pub(super) incarnation: Incarnation,
+    /// Number of the next attempt.
     pub(super) next_attempt: u64,
+    /// State of each target.
     pub(super) targets: BTreeMap<Target, TargetState>,
+    /// Requests that have been submitted and not answered yet.
     pub(super) pending: BTreeMap<RequestId, Pending>,
+    /// Limits the number of retries.
     pub(super) retries: RetryBudget,
+    /// Number of daemons that send to the same upstreams, at least 1.
     pub(super) daemon_count: usize,
+    /// Number of requests in the queues of all targets.
     pub(super) waiting: usize,
+    /// Time until which requests that carry a key may be sent; `None` means no limit.
     pub(super) keys_valid_until: Option<Timestamp>,
+    /// Requests that are suspected or proven to crash upstreams.
     pub(super) quarantine: Quarantine,
     /// Lost attempts, by upstream, while it is being checked whether the upstream crashed.
     pub(super) pending_checks: BTreeMap<UpstreamId, PendingCheck>,
     /// Upstreams at which suspected requests are or were tried by this daemon.
     pub(super) trial_upstreams: BTreeMap<Fingerprint, UpstreamId>,
+    /// Time of the last tick.
     pub(super) ticked_at: Timestamp,
 }
 
@@ -129,6 +140,7 @@
         }
     }
 
+    /// The outcome of a request that did not run, with the configured retry-after time.
     pub(super) fn not_run(&self, reason: NotRunReason) -> Outcome {
         Outcome::NotRun {
             reason,
--- a/shalehinge/src/core/router/estimate.rs
+++ b/shalehinge/src/core/router/estimate.rs
@@ -12,8 +12,11 @@
 /// The rate at which this daemon's requests to one target are processed, in tokens per second.
 #[derive(Clone, Debug, Default)]
 pub struct DrainRate {
+    /// Smoothed rate; `None` until it has been measured.
     tokens_per_second: Option<f64>,
+    /// Start of the current measurement window.
     window_start: Timestamp,
+    /// Cost of the requests sent in the current window, in tokens.
     window_tokens: f64,
 }
 
--- a/shalehinge/src/core/router/expiry.rs
+++ b/shalehinge/src/core/router/expiry.rs
@@ -18,6 +18,7 @@
         self.dispatch_all(now, rng, out);
     }
 
+    /// Sends queued requests of all targets while upstreams have room.
     pub(super) fn dispatch_all(
         &mut self,
         now: Timestamp,
--- a/shalehinge/src/core/router/failing.rs
+++ b/shalehinge/src/core/router/failing.rs
@@ -34,9 +34,11 @@
 
 #[derive(Clone, Debug)]
 struct Record {
+    /// The upstream on which the request failed first.
     first_at: UpstreamId,
     /// Another upstream on which the request failed as well.
     second_at: Option<UpstreamId>,
+    /// When the request last failed.
     last: Timestamp,
 }
 
--- a/shalehinge/src/core/router/leaving.rs
+++ b/shalehinge/src/core/router/leaving.rs
@@ -13,7 +13,9 @@
 /// What an upstream announced since it started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeavingState {
+    /// When the upstream last announced that it is leaving.
     announced_at: Option<Timestamp>,
+    /// An answer carried a mark that is not valid.
     is_unreadable: bool,
 }
 
--- a/shalehinge/src/core/router/limit_state.rs
+++ b/shalehinge/src/core/router/limit_state.rs
@@ -40,8 +40,11 @@
 /// Permits held, and the state of requests for more.
 #[derive(Clone, Copy, Debug)]
 struct Permits {
+    /// Number of unused permits.
     remaining: u32,
+    /// When they expire.
     until: Timestamp,
+    /// When permits were last requested, if none were granted since.
     asked_at: Option<Timestamp>,
     /// Interval after the last permit request, doubled while none are granted.
     interval: Duration,
@@ -64,12 +67,16 @@
 /// The limit of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct LimitState {
+    /// The limit in force.
     rate: Option<RequestRate>,
     /// The time to which the latest known state of the limit refers, learned here or by another
     /// daemon.
     as_of: Timestamp,
+    /// The limit that was last logged.
     logged: Option<RequestRate>,
+    /// The last answer named something that is not a valid limit.
     is_unreadable: bool,
+    /// Permits of this daemon.
     permits: Permits,
 }
 
--- a/shalehinge/src/core/router/outlier.rs
+++ b/shalehinge/src/core/router/outlier.rs
@@ -11,9 +11,13 @@
 /// Ejection state of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierState {
+    /// Number of failures since the last success or ejection.
     failures_in_a_row: u32,
+    /// Number of ejections, less one for each success; each doubles the next ejection.
     ejections: u32,
+    /// When the last ejection ends or ended.
     ejected_until: Option<Timestamp>,
+    /// No attempt has succeeded since the last ejection.
     on_probation: bool,
 }
 
--- a/shalehinge/src/core/router/prefix.rs
+++ b/shalehinge/src/core/router/prefix.rs
@@ -36,7 +36,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
     // Used for lookups only, never iterated where order matters.
+    /// Hashes recorded since `older` was last replaced.
     newer: HashSet<u64>,
+    /// Hashes recorded before; replaced when `newer` reaches half the capacity.
     older: HashSet<u64>,
 }
 
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -96,7 +96,9 @@
 struct Record {
     /// Crashes since the request last completed, in order of arrival.
     crashes: Vec<(UpstreamId, Timestamp)>,
+    /// When the last known complete answer was received.
     completed_at: Option<Timestamp>,
+    /// The quarantine, which may have expired.
     quarantined: Option<Quarantined>,
 }
 
@@ -114,8 +116,11 @@
 /// Lost attempts by request fingerprint, and the quarantines that result from them.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
+    /// What is known about each request.
     records: BTreeMap<Fingerprint, Record>,
+    /// Complete answers received by this daemon, oldest first.
     completions: VecDeque<Completion>,
+    /// Changes that have not been sent to other daemons yet.
     update: QuarantineUpdate,
 }
 
--- a/shalehinge/src/core/router/queue.rs
+++ b/shalehinge/src/core/router/queue.rs
@@ -44,17 +44,24 @@
 
 #[derive(Clone, Debug, Default)]
 struct CustomerQueue {
+    /// Virtual time of the next request; see the module documentation.
     tag: f64,
+    /// Share of the customer, at least 1.
     share: f64,
+    /// Total cost of the queued requests, in tokens.
     cost: f64,
+    /// The queued requests, in the order in which they are sent.
     requests: BTreeMap<Rank, QueuedRequest>,
 }
 
 /// A queue that is fair between customers.
 #[derive(Clone, Debug, Default)]
 pub struct FairQueue {
+    /// Tag of the customer whose request was dequeued last, before it advanced.
     virtual_time: f64,
+    /// Queue of each customer.
     customers: BTreeMap<Customer, CustomerQueue>,
+    /// Number of queued requests of all customers.
     len: usize,
 }
 
--- a/shalehinge/src/core/router/refusal.rs
+++ b/shalehinge/src/core/router/refusal.rs
@@ -27,13 +27,17 @@
 
 /// Inputs to the decision whether a queued request is still sent.
 pub(super) struct QueuedContext<'a> {
+    /// The current time.
     pub(super) now: Timestamp,
+    /// Settings of the router.
     pub(super) settings: &'a RouterSettings,
+    /// Quarantined requests.
     pub(super) quarantine: &'a Quarantine,
     /// Time until which requests that carry a key may be sent.
     pub(super) keys_valid_until: Option<Timestamp>,
     /// Estimated time from sending the request to its complete answer.
     pub(super) service_time: Duration,
+    /// The queued request.
     pub(super) pending: &'a Pending,
 }
 
--- a/shalehinge/src/core/router/reports.rs
+++ b/shalehinge/src/core/router/reports.rs
@@ -29,6 +29,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
+    /// Finds an upstream and its target by id.
     pub(super) fn find(&mut self, id: &UpstreamId) -> Option<(Target, &mut Upstream)> {
         self.targets.iter_mut().find_map(|(target, state)| {
             let upstream = state.upstreams.iter_mut().find(|u| u.spec.id == *id)?;
--- a/shalehinge/src/core/router/retry_budget.rs
+++ b/shalehinge/src/core/router/retry_budget.rs
@@ -6,8 +6,11 @@
 /// The retry budget of one daemon, as a token bucket.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Number of retries allowed per first attempt.
     ratio: f64,
+    /// Maximum number of retries saved up.
     burst: f64,
+    /// Number of retries available, possibly fractional.
     tokens: f64,
 }
 
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -12,6 +12,7 @@
 /// Attempts that were lost at an upstream, until it is known whether the upstream crashed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingCheck {
+    /// The lost attempts.
     losses: Vec<Loss>,
     /// Requests to retry or answer once it is known.
     waiting: Vec<(RequestId, Outcome)>,
@@ -20,7 +21,9 @@
 /// The content and target of a request.
 #[derive(Clone, Debug)]
 pub(super) struct RequestSubject {
+    /// Fingerprint of the content.
     pub(super) fingerprint: Fingerprint,
+    /// The model or service that should run it.
     pub(super) target: Target,
 }
 
--- a/shalehinge/src/core/router/target.rs
+++ b/shalehinge/src/core/router/target.rs
@@ -24,18 +24,27 @@
 /// A request that has been submitted and not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Pending {
+    /// What is known about the request.
     pub(super) meta: RequestMeta,
+    /// When the request was submitted.
     pub(super) arrived_at: Timestamp,
+    /// Number of attempts sent.
     pub(super) attempts: u32,
     /// Number of attempts that may have run.
     pub(super) possible_runs: u32,
+    /// Upstreams to which attempts were sent.
     pub(super) tried: Vec<UpstreamId>,
+    /// The attempt in flight, if any.
     pub(super) running: Option<Running>,
+    /// Whether an attempt has produced output.
     pub(super) has_output: bool,
     /// Outcome of an earlier attempt that may have run.
     pub(super) earlier_outcome: Option<Outcome>,
+    /// Estimated cost in tokens if the prompt is not cached.
     pub(super) cost: f64,
+    /// Share of the customer.
     pub(super) share: u32,
+    /// Trial state of the request.
     pub(super) trial: TrialState,
 }
 
@@ -53,26 +62,41 @@
 /// An attempt in flight.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
+    /// Id of the attempt.
     pub(super) id: AttemptId,
+    /// The upstream that runs it.
     pub(super) upstream: UpstreamId,
+    /// When it was sent.
     pub(super) sent_at: Timestamp,
+    /// When its first output arrived.
     pub(super) first_at: Option<Timestamp>,
+    /// Its estimated cost to the upstream.
     pub(super) work: Work,
 }
 
 /// State of one target.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TargetState {
+    /// The upstreams that this daemon considers.
     pub(super) upstreams: Vec<Upstream>,
+    /// The queued requests.
     pub(super) queue: WaitQueue,
+    /// The rate at which the queue drains.
     pub(super) drain: DrainRate,
+    /// Smoothed time to first token.
     pub(super) first_token: SmoothedDuration,
     /// Time to first token of a request that does not have to wait.
     pub(super) fastest_first: LowerEnvelope,
+    /// Smoothed interval between two tokens.
     pub(super) token_interval: SmoothedDuration,
+    /// Smoothed output of a request as a fraction of its maximum; `None` until it has been
+    /// measured.
     pub(super) output_fraction: Option<f64>,
+    /// Number of requests sent, used for round-robin.
     pub(super) sent_count: usize,
+    /// Requests that failed recently.
     pub(super) failing: FailingRequests,
+    /// The highest number of upstreams that were present recently.
     pub(super) recent_capacity: RecentCapacity,
 }
 
@@ -84,6 +108,7 @@
         present.count()
     }
 
+    /// Adds a request to the queue.
     pub(super) fn enqueue(&mut self, request: RequestId, pending: &Pending, timely_first: bool) {
         let waiting = QueuedRequest {
             request,
@@ -105,6 +130,7 @@
         is_new.then(|| pending.arrived_at + target_time.saturating_sub(fastest))
     }
 
+    /// Expected output of a request, in tokens.
     pub(super) fn expected_output(&self, meta: &RequestMeta) -> f64 {
         f64::from(meta.max_output_tokens) * self.output_fraction.unwrap_or(INITIAL_OUTPUT_FRACTION)
     }
@@ -132,6 +158,8 @@
             .unwrap_or_default()
     }
 
+    /// Selects an upstream for a request. One that was already tried is selected only if no
+    /// untried one is available. A trial runs on its assigned upstream only.
     pub(super) fn choose_for(
         &mut self,
         now: Timestamp,
@@ -181,6 +209,8 @@
         }
     }
 
+    /// Estimated cost of a request to an upstream whose cache holds this many blocks of the
+    /// prompt.
     pub(super) fn work_of(&self, meta: &RequestMeta, cached_blocks: usize) -> Work {
         let cached_tokens = f64::from(BLOCK_TOKENS) * cached_blocks as f64;
         let prompt = (f64::from(meta.prompt_tokens) - cached_tokens).max(0.0);
@@ -191,6 +221,7 @@
         }
     }
 
+    /// Records that a request is sent to the upstream at `index`, and returns the attempt.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -230,6 +261,7 @@
         }
     }
 
+    /// Finds an upstream by id.
     pub(super) fn upstream_mut(&mut self, id: &UpstreamId) -> Option<&mut Upstream> {
         self.upstreams.iter_mut().find(|u| u.spec.id == *id)
     }
@@ -287,6 +319,8 @@
         None
     }
 
+    /// Updates the estimates of speed and output from a completed attempt with this number of
+    /// output tokens.
     pub(super) fn record_attempt_completion(
         &mut self,
         now: Timestamp,
@@ -334,6 +368,7 @@
         }
     }
 
+    /// Whether one more upstream may be ejected without exceeding the maximum fraction.
     pub(super) fn may_eject(&self, now: Timestamp, settings: &RouterSettings) -> bool {
         let ejected = self
             .upstreams
@@ -343,6 +378,8 @@
         (ejected + 1) as f64 <= self.upstreams.len() as f64 * settings.max_ejected
     }
 
+    /// Ejects an upstream whose token interval is too long compared to the typical one, if enough
+    /// others remain.
     pub(super) fn eject_if_slow(
         &mut self,
         now: Timestamp,
--- a/shalehinge/src/core/router/upstream.rs
+++ b/shalehinge/src/core/router/upstream.rs
@@ -82,7 +82,9 @@
 /// A load report and when it was requested.
 #[derive(Clone, Copy, Debug)]
 struct Report {
+    /// The reported load.
     load: EngineLoad,
+    /// When the report was requested.
     asked_at: Timestamp,
 }
 
@@ -114,22 +116,35 @@
     pub first_token: SmoothedDuration,
     /// Smoothed interval between two tokens.
     pub token_interval: SmoothedDuration,
+    /// The last load report.
     report: Option<Report>,
+    /// When the next report may be requested.
     next_report_at: Timestamp,
+    /// A report was requested and has not been answered yet.
     report_asked: bool,
+    /// Time until which the last reports show that all members are present.
     complete_until: Timestamp,
+    /// When evidence that the upstream cannot serve was last recorded. Reports of an earlier state
+    /// are ignored.
     evidence_invalidated_at: Option<Timestamp>,
     /// The group was shown to be complete, and nothing has contradicted it since.
     was_complete: bool,
     /// When a group that was complete was first found to be incomplete or suspect.
     suspect_since: Option<Timestamp>,
+    /// Number of this daemon's requests in flight there.
     in_flight: u32,
+    /// Sum of their estimated peak KV cache use, in tokens.
     kv_in_flight: f64,
     /// Requests of other daemons in flight there, smoothed over reports.
     others_in_flight: Option<f64>,
+    /// Maximum number of this daemon's concurrent requests there, from the last report.
     allowance: f64,
+    /// Upper bound of `allowance`; doubles with each report.
     ramp: f64,
+    /// Estimated peak KV cache use of the requests sent since the last report, less that of
+    /// requests ended since, in tokens.
     kv_since_report: f64,
+    /// Number of daemons that send to this upstream.
     daemon_count: usize,
     /// After a failure, a listed upstream gets no new requests until this time.
     backoff_until: Timestamp,
@@ -139,6 +154,7 @@
     output_at: Option<Timestamp>,
     /// Requests are running there, and none has made progress for too long.
     stalled: bool,
+    /// The upstream has definitely lost a member.
     lost: bool,
     /// Number of requests there whose output has begun.
     streaming: u32,
--- a/shalehinge/src/core/router/wait_queue.rs
+++ b/shalehinge/src/core/router/wait_queue.rs
@@ -14,7 +14,9 @@
 /// A queue with two classes.
 #[derive(Clone, Debug, Default)]
 pub struct WaitQueue {
+    /// Requests that can still meet their target time, or have none.
     timely: FairQueue,
+    /// Requests that can no longer meet their target time.
     overdue: FairQueue,
 }
 
