--- a/shalehinge/src/core/controller/list_outage.rs
+++ b/shalehinge/src/core/controller/list_outage.rs
@@ -24,7 +24,7 @@
 }
 
 impl ListOutage {
-    /// Takes in that the list is current as of this time.
+    /// Records that the list is current as of this time.
     pub(super) fn update(&mut self, as_of: Option<Timestamp>, heartbeat: Duration) {
         let elapsed = as_of.zip(self.as_of).map(|(now, then)| now.since(then));
         if elapsed.is_some_and(|elapsed| elapsed > heartbeat * EXPIRY_HEARTBEATS) {
--- a/shalehinge/src/core/controller/mod.rs
+++ b/shalehinge/src/core/controller/mod.rs
@@ -411,7 +411,7 @@
         self.stored = None;
     }
 
-    /// Takes in the work that arrives at the fleet, as far as this daemon knows. While too little
+    /// Records the work that arrives at the fleet, as far as this daemon knows. While too little
     /// work was sampled, supply is measured against the wanted replicas.
     ///
     /// Returns log lines if the estimate differs significantly from the last logged one.
--- a/shalehinge/src/core/controller/ordered.rs
+++ b/shalehinge/src/core/controller/ordered.rs
@@ -17,7 +17,7 @@
     Address, EngineStart, Epoch, GroupNumber, HostId, ModelName, Timestamp, Version,
 };
 
-/// Number of consecutive refused orders after which the group is given up.
+/// Number of consecutive refused orders after which the group counts as lost.
 const MAX_REFUSALS: u32 = 3;
 /// How long a restarted engine is not ordered to load. By then a second crash of the same model
 /// can be distinguished from the first, and a load takes longer anyway.
@@ -53,7 +53,7 @@
 }
 
 impl Controller {
-    /// Takes in a new host list. Hosts that are no longer listed are remembered as long as the
+    /// Applies a new host list. Hosts that are no longer listed are remembered as long as the
     /// assignment uses them.
     pub(super) fn update_listed(&mut self, now: Timestamp, state: &FleetState) {
         let Some(hosts) = state.full_hosts() else {
--- a/shalehinge/src/core/daemon/configuration.rs
+++ b/shalehinge/src/core/daemon/configuration.rs
@@ -85,8 +85,8 @@
     }
 
     /// How long after the last confirmation of the configuration this daemon reads it from the
-    /// platform itself, where peers relay: the first watcher at once, the other watchers after
-    /// the first one has failed, and all other daemons last.
+    /// platform itself, where peers relay: the first watcher immediately, the other watchers
+    /// after the first one has failed, and all other daemons last.
     fn exact_read_delay(&self, now: Timestamp) -> Duration {
         let settings = self.settings.learning;
         if self.is_primary_watcher(now) {
@@ -223,7 +223,7 @@
 
     /// Whether a newer configuration has been known to exist for so long that requests must not
     /// be served with this one. This covers a link too busy to deliver the newer configuration in
-    /// time: callers are told to retry, where otherwise a revoked key or a removed route would
+    /// time: callers are asked to retry, where otherwise a revoked key or a removed route would
     /// still be used. A daemon that is cut off from every daemon that knows the newer
     /// configuration keeps serving.
     pub(super) fn is_out_of_date(&self, now: Timestamp) -> bool {
--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -81,7 +81,7 @@
 const LAST_OUTPUT_PEERS: usize = 12;
 /// Interval at which the lease holder recomputes the demand on the fleet.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of peers notified at once when an object changes.
+/// Number of peers that a daemon notifies when an object changes.
 const NOTICE_FANOUT: usize = 3;
 /// Minimum delay before a failed watch is retried. Random jitter of up to the same length is
 /// added.
--- a/shalehinge/src/core/daemon/operators.rs
+++ b/shalehinge/src/core/daemon/operators.rs
@@ -41,7 +41,7 @@
                 self.call_platform(CallPurpose::Operator(id), request, out);
             }
             Some(OperatorStep::Answer(answer)) => {
-                // Reads the written change back at once, so that it is in force here without
+                // Reads the written change back immediately, so that it is in force here without
                 // delay.
                 if let Ok(PlatformReply::Written(_)) = result {
                     self.feeds
--- a/shalehinge/src/core/daemon/relays.rs
+++ b/shalehinge/src/core/daemon/relays.rs
@@ -26,7 +26,7 @@
 /// membership is known, so that few daemons read the platform; requests arrive later.
 const FIRST_START_READ_AFTER: Duration = Duration::from_secs(1);
 /// How long a restarted daemon reads only from peers. A live peer answers within this time. It is
-/// short because requests wait meanwhile if all daemons restart at once.
+/// short because requests wait meanwhile if all daemons restart together.
 const RESTART_READ_AFTER: Duration = Duration::from_millis(200);
 /// Interval between two pulls of a daemon that doesn't know the objects it needs to serve.
 const START_PULL_INTERVAL: Duration = Duration::from_millis(150);
@@ -36,8 +36,8 @@
 /// Upper bound of the delay by rank.
 const MAX_FALLBACK_DELAY: Duration = Duration::from_secs(2);
 /// Age of the host list, in relay intervals, beyond which a daemon no longer relies on its parent.
-/// A reader hears from the platform once per interval plus the wait of a watch, which is about one
-/// and a half intervals, and each level of the tree adds one interval.
+/// A reader gets an answer of the platform once per interval plus the wait of a watch, which is
+/// about one and a half intervals, and each level of the tree adds one interval.
 const RELAY_TIMEOUT_INTERVALS: u32 = 6;
 
 impl Daemon {
--- a/shalehinge/src/core/event.rs
+++ b/shalehinge/src/core/event.rs
@@ -164,10 +164,10 @@
     /// domain.
     #[serde(default)]
     pub lost: Vec<ReplicaId>,
-    /// News about requests that crash the upstreams that run them.
+    /// Reports of requests that crash the upstreams that run them.
     #[serde(default)]
     pub quarantine: QuarantineReport,
-    /// News about upstreams that advertise a rate limit.
+    /// Messages about upstreams that advertise a rate limit.
     #[serde(default)]
     pub limits: LimitsNotice,
 }
--- a/shalehinge/src/core/lease.rs
+++ b/shalehinge/src/core/lease.rs
@@ -150,8 +150,8 @@
         self.era.map_or(StoreEra::UNREPORTED, |known| known.era)
     }
 
-    /// Whether a lease that is missing or released may be taken at once, as no daemon can still
-    /// hold one from a previous era.
+    /// Whether a lease that is missing or released may be taken without a wait, as no daemon can
+    /// still hold one from a previous era.
     fn is_certainly_unheld(&self, now: Timestamp) -> bool {
         let seen_at = self.era.and_then(|known| known.seen_at);
         let is_settled = seen_at.is_none_or(|seen_at| now.since(seen_at) >= self.settings.term);
--- a/shalehinge/src/core/object_fetch.rs
+++ b/shalehinge/src/core/object_fetch.rs
@@ -62,7 +62,7 @@
         Some(from)
     }
 
-    /// Records that the fetch was answered or given up.
+    /// Records that the fetch was answered or abandoned.
     pub fn end(&mut self) {
         self.is_running = false;
     }
--- a/shalehinge/src/core/objects.rs
+++ b/shalehinge/src/core/objects.rs
@@ -371,7 +371,7 @@
     #[serde(default)]
     pub wanted: BTreeMap<ModelName, u32>,
     /// The model that each free host last held in memory, where engines join groups by order.
-    /// Such a host can join a group of that model at once. The host list doesn't report it.
+    /// Such a host can join a group of that model immediately. The host list doesn't report it.
     #[serde(default)]
     pub held_by_free: BTreeMap<HostId, ModelName>,
 }
--- a/shalehinge/src/core/permits.rs
+++ b/shalehinge/src/core/permits.rs
@@ -3,7 +3,7 @@
 //! Such a limit applies to all daemons together, so one daemon, the owner of the limit, grants
 //! permits. A permit is for one request and expires after a short time. The limit is not divided
 //! into fixed shares, as a daemon can't send less than one request: 340 daemons with a share each
-//! would send 340 requests at once.
+//! would send 340 requests at the same time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/shalehinge/src/core/placement/fleet_shares.rs
+++ b/shalehinge/src/core/placement/fleet_shares.rs
@@ -7,7 +7,7 @@
 //!
 //! 1. Existing replicas are kept.
 //! 2. Free hosts go to the model with the lowest supply that fits.
-//! 3. An existing replica is given up only for a model that has no replica, or whose supply is
+//! 3. An existing replica is removed only for a model that has no replica, or whose supply is
 //!    far below its work share, because an exchange costs weight loads and downtime.
 //!
 //! A host that is added or removed therefore moves no replicas in other failure domains. This is
--- a/shalehinge/src/core/placement/yielding.rs
+++ b/shalehinge/src/core/placement/yielding.rs
@@ -46,9 +46,9 @@
     usage
 }
 
-/// The group that should be given up for the model `requesting`, and the customer that gets its
+/// The group that should be dissolved for the model `requesting`, and the customer that gets its
 /// hosts. Returns `None` if the owner of `requesting` would exceed its share, or if no other
-/// customer can give up a group and stay at or above its own.
+/// customer can lose a group and stay at or above its own.
 pub fn group_to_yield(
     fleet: &FleetConfig,
     assignment: &Assignment,
--- a/shalehinge/src/core/router/estimate.rs
+++ b/shalehinge/src/core/router/estimate.rs
@@ -21,7 +21,7 @@
 }
 
 impl DrainRate {
-    /// Records that a request of `cost` tokens was sent at `now`; `has_queued` tells whether more
+    /// Records that a request of `cost` tokens was sent at `now`; `has_queued` is whether more
     /// requests are queued.
     pub fn record(&mut self, now: Timestamp, cost: f64, has_queued: bool) {
         self.end_window(now, has_queued);
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -74,7 +74,7 @@
     pub at: Timestamp,
 }
 
-/// Changes to tell other daemons.
+/// Changes to report to other daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineUpdate {
     /// Losses, for the daemons that count the losses of all daemons.
@@ -86,7 +86,7 @@
 }
 
 impl QuarantineUpdate {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty() && self.quarantined.is_empty() && self.completions.is_empty()
     }
@@ -278,8 +278,8 @@
     }
 
     /// Applies another daemon's quarantine. Returns whether it is new here or proven for the
-    /// first time. If this daemon received a complete answer since the first loss, it tells all
-    /// daemons of that instead.
+    /// first time. If this daemon received a complete answer since the first loss, it reports
+    /// that to all daemons instead.
     pub fn apply_remote_quarantine(&mut self, quarantined: Quarantined) -> bool {
         let fingerprint = quarantined.fingerprint;
         if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at) {
@@ -330,7 +330,7 @@
             .retain(|_, record| now < record.last_at() + retention);
     }
 
-    /// Takes the changes to tell other daemons; each is returned once.
+    /// Takes the changes to report to other daemons; each is returned once.
     pub fn take_update(&mut self) -> QuarantineUpdate {
         std::mem::take(&mut self.update)
     }
--- a/shalehinge/src/core/router/reports.rs
+++ b/shalehinge/src/core/router/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports from upstreams, and what the router tells other components about its upstreams.
+//! Load reports from upstreams, and what the router reports to other components.
 
 use crate::core::engine::EngineStatus;
 use crate::core::types::{ReplicaId, Timestamp};
--- a/shalehinge/src/core/router/retry_budget.rs
+++ b/shalehinge/src/core/router/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Limits retries to a fraction of the first attempts plus a saved-up burst.
 //!
-//! If many upstreams fail at once, the budget is exhausted and requests end with their current
+//! If many upstreams fail together, the budget is exhausted and requests end with their current
 //! outcome, which prevents a retry storm.
 
 /// The retry budget of one daemon, as a token bucket.
--- a/shalehinge/src/core/router/stalled.rs
+++ b/shalehinge/src/core/router/stalled.rs
@@ -9,7 +9,7 @@
 use super::upstream::Evidence;
 
 /// Longest interval between ticks after which stalls are still detected. A daemon that was paused
-/// for longer cannot tell which upstreams stalled in the meantime.
+/// for longer cannot determine which upstreams stalled in the meantime.
 const MAX_TICK_GAP: Duration = Duration::from_millis(300);
 
 impl Router {
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Takes the quarantine changes to tell other daemons; each is returned once.
+    /// Takes the quarantine changes to report to other daemons; each is returned once.
     pub fn take_quarantine_update(&mut self, now: Timestamp) -> QuarantineUpdate {
         self.quarantine.remove_expired(now, &self.settings);
         self.quarantine.take_update()
--- a/shalehinge/src/core/router/trial.rs
+++ b/shalehinge/src/core/router/trial.rs
@@ -14,7 +14,7 @@
 use super::request::{NotRunReason, Outcome, UpstreamId};
 use super::target::Pending;
 
-/// How long a request waits for a trial before its caller is told to retry later.
+/// How long a request waits for a trial before it is refused with a retry-after time.
 const TRIAL_WAIT: Duration = Duration::from_millis(500);
 /// Maximum number of candidate upstreams named in a trial request.
 const MAX_CANDIDATES: usize = 8;
--- a/shalehinge/src/core/router/upstream.rs
+++ b/shalehinge/src/core/router/upstream.rs
@@ -340,8 +340,8 @@
 
     /// Smooths the number of other daemons' requests. A report's figures on other daemons are as
     /// old as the report, while this daemon's own share is always known exactly. Without
-    /// smoothing, all daemons would react to the same outdated figures at once and oscillate
-    /// together.
+    /// smoothing, all daemons would react to the same outdated figures at the same time and
+    /// oscillate together.
     fn smooth_others(&mut self, others_in_flight: f64, smoothing: f64) {
         let known = self.others_in_flight.unwrap_or(others_in_flight);
         self.others_in_flight = Some((known + smoothing * (others_in_flight - known)).max(0.0));
--- a/shalehinge/src/gateway/relay.rs
+++ b/shalehinge/src/gateway/relay.rs
@@ -217,7 +217,7 @@
     Ok((meta, outgoing))
 }
 
-/// The target latency of a route; 0 stands for none.
+/// The target latency of a route; 0 means none.
 fn target_latency(target_latency_ms: u64) -> Option<Duration> {
     (target_latency_ms > 0).then(|| Duration::from_millis(target_latency_ms))
 }
@@ -256,7 +256,7 @@
     Target::Service(routed.service.clone())
 }
 
-/// Reads the numbers of prompt and maximum output tokens; 0 stands for unknown.
+/// Reads the numbers of prompt and maximum output tokens; 0 means unknown.
 fn token_counts(header: Option<&str>) -> (u32, u32) {
     let mut numbers = header
         .unwrap_or_default()
--- a/shalehinge/src/process/driver.rs
+++ b/shalehinge/src/process/driver.rs
@@ -311,8 +311,8 @@
         self.metrics.count(Counter::Attempts);
         let id = attempt.id;
         let driver = self.clone();
-        // Held until the task is registered, because a task that finishes at once must find
-        // its own entry.
+        // Held until the task is registered, because a task that finishes immediately must
+        // find its own entry.
         let mut attempts = lock(&self.attempts);
         let task = spawn(async move {
             let sink = CallerSink {
--- a/shalehinge/src/process/peer_traffic.rs
+++ b/shalehinge/src/process/peer_traffic.rs
@@ -3,7 +3,7 @@
 //!
 //! A daemon whose link is saturated by replies does not receive updates in time, and looks like
 //! one with a slow processor or a slow platform. The log line of this module reports pulls
-//! together with the delay of the ticks, which tells these cases apart.
+//! together with the delay of the ticks, which distinguishes these cases.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
--- a/shalehinge/src/settings/daemon.rs
+++ b/shalehinge/src/settings/daemon.rs
@@ -61,8 +61,9 @@
     pub max_deadline: Duration,
     /// How long a shutdown waits for requests in progress.
     pub stop_within: Duration,
-    /// How long a daemon continues to accept requests after it was told to stop, so that the load
-    /// balancer notices that it is no longer ready; without it, the shutdown begins at once.
+    /// How long a daemon continues to accept requests after it was asked to stop, so that the
+    /// load balancer notices that it is no longer ready; without it, the shutdown begins
+    /// immediately.
     pub linger: Option<Duration>,
 }
 
--- a/shalehinge/src/settings/router.rs
+++ b/shalehinge/src/settings/router.rs
@@ -41,7 +41,7 @@
     pub prefix_affinity: bool,
     /// Maximum load of a replica preferred for its prefix, as a multiple of the mean load.
     pub affinity_load_bound: f64,
-    /// Whether to reject a request at once if it is expected to miss its deadline or to wait
+    /// Whether to reject a request immediately if it is expected to miss its deadline or to wait
     /// longer than `max_wait`.
     pub early_refusal: bool,
     /// Maximum estimated wait for an upstream, with `early_refusal`.
@@ -68,7 +68,7 @@
     pub quarantine_after: u32,
     /// How long a request that is proven to crash upstreams is rejected after the last crash.
     pub quarantine_for: Duration,
-    /// Time after which rejected callers are told to retry, if no better estimate is available.
+    /// Time after which rejected callers are asked to retry, if no better estimate is available.
     pub retry_after: Duration,
 }
 
--- a/shalehinge/src/upstream/relay.rs
+++ b/shalehinge/src/upstream/relay.rs
@@ -24,7 +24,7 @@
 const READ_SIZE: usize = 4 * 1024;
 /// Status by which an instance reports that the request was meant for another one.
 const MISDIRECTED_REQUEST: u16 = 421;
-/// Statuses that tell a caller that the request did not run. An upstream reports this reliably
+/// Statuses that inform a caller that the request did not run. An upstream reports this reliably
 /// only by its `not_run` header (or by 421), so these statuses are never forwarded.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
--- a/standin/src/engine/state.rs
+++ b/standin/src/engine/state.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Leaves the group if this host is a member of it: at once, or with `drain`, once the
-    /// sequences in the batch have completed.
+    /// Leaves the group if this host is a member of it: immediately or, with `drain`,
+    /// after the sequences in the batch have completed.
     fn release(&mut self, group: GroupNumber, drain: bool) {
         let is_member = self.membership.as_ref().is_some_and(|m| m.group == group);
         if !is_member {
--- a/standin/src/experiment/routing.rs
+++ b/standin/src/experiment/routing.rs
@@ -121,7 +121,7 @@
 /// Offered loads, as multiples of the capacity of all replicas.
 const OFFERED_LOADS: [f64; 3] = [0.7, 0.95, 1.3];
 
-/// Settings for a policy without admission control: requests are sent to an engine at once.
+/// Settings for a policy without admission control: requests are sent to an engine immediately.
 fn without_admission_control(policy: ChoicePolicy) -> RouterSettings {
     RouterSettings {
         policy,
