--- a/shalehinge/src/core/daemon/control.rs
+++ b/shalehinge/src/core/daemon/control.rs
@@ -217,9 +217,9 @@
         }
     }
 
-    /// Adopts the stored assignment. After a restore of the store it may come from the backup: then
-    /// a newer assignment that this daemon knows takes precedence, and the one from the backup is
-    /// used only where nothing newer is known.
+    /// Adopts the stored assignment. After a restore of the store it may come from the backup:
+    /// then a newer assignment that this daemon knows takes precedence, and the one from the
+    /// backup is used only where nothing newer is known.
     fn on_assignment_read(
         &mut self,
         now: Timestamp,
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -254,8 +254,8 @@
 
     /// The updates to include in a pull reply. Objects that may be large are sent only for
     /// [`PullTopic::WholeObjects`], of which each daemon has at most one pull open. If every reply
-    /// carried them, a daemon that is behind would receive several whole configurations at the same
-    /// time, none of them before the pull's time-out, and would stay behind.
+    /// carried them, a daemon that is behind would receive several whole configurations at the
+    /// same time, none of them before the pull's time-out, and would stay behind.
     fn updates_for(&self, topic: PullTopic, known: &VersionDigest) -> Vec<ObjectUpdate> {
         let hosts = self.state.routable_hosts_after(known);
         match topic {
--- a/shalehinge/src/core/lease.rs
+++ b/shalehinge/src/core/lease.rs
@@ -1,9 +1,9 @@
 //! The control lease of a failure domain: at most one daemon acts for the domain at a time.
 //!
-//! The lease holder counts its term from before it sent the write, and stops a safety margin before
-//! the end. A candidate counts a full term from when it last saw the lease change. Both use their
-//! own monotonic clock, so clocks are never compared. The epoch rises with each new lease holder
-//! and serves as the fencing token of orders to engines.
+//! The lease holder counts its term from before it sent the write, and stops a safety margin
+//! before the end. A candidate counts a full term from when it last saw the lease change. Both use
+//! their own monotonic clock, so clocks are never compared. The epoch rises with each new lease
+//! holder and serves as the fencing token of orders to engines.
 //!
 //! A store that is restored from a backup may have lost the lease, or hold an older one. The lease
 //! holder stops immediately, and may take the lease again without a wait while its former term
--- a/shalehinge/src/core/superseded.rs
+++ b/shalehinge/src/core/superseded.rs
@@ -1,8 +1,8 @@
 //! Tracks since when a daemon knows that its configuration is out of date.
 //!
 //! Peers report the version in force without delay, while the transfer of the configuration itself
-//! may take long over a congested link. Permissions that an operator revoked must not stay usable in
-//! the meantime. A daemon that no longer receives such reports is cut off from its peers, and
+//! may take long over a congested link. Permissions that an operator revoked must not stay usable
+//! in the meantime. A daemon that no longer receives such reports is cut off from its peers, and
 //! continues with the configuration it has.
 
 use std::collections::BTreeMap;
