--- a/shalehinge/tests/relay_support/platform.rs
+++ b/shalehinge/tests/relay_support/platform.rs
@@ -61,7 +61,7 @@
 }
 
 /// A copy of the platform's store.
-struct Copy {
+struct Backup {
     revision: u64,
     changes: Vec<(u64, HostId, HostRecord)>,
     configuration: Versioned<FleetConfig>,
@@ -73,7 +73,7 @@
     era: u32,
     revision: u64,
     /// The copy that [`Self::restore`] restores.
-    copy: Option<Copy>,
+    backup: Option<Backup>,
     /// Generation of the last configuration written, even if a restore has lost it.
     generation: u64,
     /// All changes of the host list, each with its revision.
@@ -103,7 +103,7 @@
         let mut platform = Self {
             era: 1,
             revision: 1,
-            copy: None,
+            backup: None,
             generation: 0,
             changes: Vec::new(),
             configuration: Versioned {
@@ -165,8 +165,8 @@
     }
 
     /// Takes a copy of the store.
-    pub fn take_copy(&mut self) {
-        self.copy = Some(Copy {
+    pub fn take_backup(&mut self) {
+        self.backup = Some(Backup {
             revision: self.revision,
             changes: self.changes.clone(),
             configuration: self.configuration.clone(),
@@ -177,13 +177,13 @@
     /// Restores the store from the copy in a new era: later writes are lost, and their revisions
     /// are assigned again.
     pub fn restore(&mut self) {
-        let copy = self.copy.take().expect("copied before");
+        let backup = self.backup.take().expect("copied before");
         self.era += 1;
-        self.revision = copy.revision;
-        self.changes = copy.changes;
-        self.configuration = copy.configuration;
+        self.revision = backup.revision;
+        self.changes = backup.changes;
+        self.configuration = backup.configuration;
         self.configuration.version = self.version(self.configuration.version.number);
-        self.objects = copy.objects;
+        self.objects = backup.objects;
     }
 
     fn configuration(&self) -> ObjectUpdate {
--- a/shalehinge/tests/restored_platform.rs
+++ b/shalehinge/tests/restored_platform.rs
@@ -28,7 +28,7 @@
     fleet.run(Duration::from_secs(10));
     fleet.platform.configure(fleet_config(1));
     fleet.run(IN_FORCE_WITHIN);
-    fleet.platform.take_copy();
+    fleet.platform.take_backup();
     for write in 0..LOST_WRITES {
         fleet.platform.change((write % 20) as u16, HostState::Live);
     }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_configuration_that_the_copy_lacks_stays_in_force() {
+fn the_configuration_that_the_backup_lacks_stays_in_force() {
     let mut fleet = restored(9);
     assert_eq!(daemons_without_routes(&fleet, 2), 0);
     fleet.run(Duration::from_secs(10));
@@ -113,7 +113,7 @@
 fn daemons_that_the_platform_refuses_follow_their_peers_into_a_new_era() {
     let mut fleet = restored(9);
     fleet.refused = [0, 4, 8].into();
-    fleet.platform.take_copy();
+    fleet.platform.take_backup();
     fleet.platform.configure(fleet_config(5));
     fleet.run(IN_FORCE_WITHIN);
     fleet.restore_platform(OUTAGE);
@@ -134,7 +134,7 @@
         fleet.run(Duration::from_secs(10));
         fleet.platform.configure(fleet_config(2));
         fleet.run(IN_FORCE_WITHIN);
-        fleet.platform.take_copy();
+        fleet.platform.take_backup();
         fleet.platform.change(3, HostState::Live);
         fleet.run(IN_FORCE_WITHIN);
         fleet.restore_platform(OUTAGE);
@@ -155,11 +155,11 @@
 }
 
 #[test]
-fn a_host_missing_from_two_copies_in_a_row_is_kept_until_it_had_time_to_rewrite_its_record() {
+fn a_host_missing_from_two_backups_in_a_row_is_kept_until_it_had_time_to_rewrite_its_record() {
     const NEW_HOST: u16 = 35;
     let mut fleet = Fleet::new(9);
     fleet.run(Duration::from_secs(10));
-    fleet.platform.take_copy();
+    fleet.platform.take_backup();
     fleet.platform.change(NEW_HOST, HostState::Live);
     fleet.run(IN_FORCE_WITHIN);
     let knows = |daemon: &&Daemon| {
@@ -170,7 +170,7 @@
         fleet.restore_platform(Duration::from_millis(500));
         fleet.run(RECONNECT_WITHIN);
         assert_eq!(fleet.daemons.iter().filter(knows).count(), 9);
-        fleet.platform.take_copy();
+        fleet.platform.take_backup();
     }
     fleet.run(RECONNECT_WITHIN * 2);
     assert_eq!(fleet.daemons.iter().filter(knows).count(), 0);
--- a/shalehinge/tests/store_era.rs
+++ b/shalehinge/tests/store_era.rs
@@ -125,8 +125,8 @@
     let token = lease.held(at(1_500)).expect("held");
     lease.note_era(at(2_000), SECOND, true);
     assert_eq!(lease.held(at(2_000)), None);
-    let copied = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
-    let millis = written_at(&mut lease, 2_000, copied);
+    let restored = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
+    let millis = written_at(&mut lease, 2_000, restored);
     assert!(millis < 2_200, "{millis}");
     lease.on_written(at(millis + 10), Version::new(SECOND, 4));
     let new_token = lease.held(at(millis + 20)).expect("held again");
@@ -138,20 +138,20 @@
 fn a_holder_whose_term_has_ended_waits_like_any_other_daemon() {
     let mut lease = holder();
     lease.note_era(at(6_000), SECOND, true);
-    let copied = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
-    assert!(written_at(&mut lease, 6_000, copied) >= 10_000);
+    let restored = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
+    assert!(written_at(&mut lease, 6_000, restored) >= 10_000);
 }
 
 #[test]
-fn a_lease_released_in_a_copy_is_not_acquired_until_the_last_holder_has_stopped() {
+fn a_lease_released_in_a_backup_is_not_acquired_until_the_last_holder_has_stopped() {
     let mut lease = lease();
     lease.note_era(at(0), SECOND, false);
-    let copied = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
-    assert!(written_at(&mut lease, 0, copied) >= TERM.as_millis() as u64);
+    let restored = stored(Version::new(SECOND, 3), record("other", Epoch(1), true));
+    assert!(written_at(&mut lease, 0, restored) >= TERM.as_millis() as u64);
 }
 
 #[test]
-fn a_lease_missing_in_a_copy_is_not_acquired_until_the_last_holder_has_stopped() {
+fn a_lease_missing_in_a_backup_is_not_acquired_until_the_last_holder_has_stopped() {
     let mut lease = lease();
     lease.note_era(at(0), SECOND, false);
     assert!(written_at(&mut lease, 0, None) >= TERM.as_millis() as u64);
@@ -251,34 +251,34 @@
 
 /// The state after a host list of the first era, these changes, and the host list of a copy in the
 /// second era.
-fn after_copy(first: Object, changes: Vec<Object>, copy: Object) -> FleetState {
+fn after_restore(first: Object, changes: Vec<Object>, backup: Object) -> FleetState {
     let mut state = FleetState::default();
     apply(&mut state, Version::new(FIRST, 300), first);
     for (change, number) in changes.into_iter().zip(301..) {
         apply(&mut state, Version::new(FIRST, number), change);
     }
-    apply(&mut state, Version::new(SECOND, 290), copy);
+    apply(&mut state, Version::new(SECOND, 290), backup);
     state
 }
 
 #[test]
-fn leaving_earlier_hosts_do_not_return_with_a_copy() {
+fn leaving_earlier_hosts_do_not_return_with_a_backup() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaves = vec![changed(HOST, host(HostState::Leaving, 1))];
-    let mut state = after_copy(live.clone(), leaves, live.clone());
+    let mut state = after_restore(live.clone(), leaves, live.clone());
     assert_eq!(routed(&state, HOST), LEAVING);
     let leaves = changed(HOST, host(HostState::Leaving, 1));
     apply(&mut state, Version::new(SECOND, 291), leaves);
     assert_eq!(routed(&state, HOST), LEAVING);
 
-    let state = after_copy(live.clone(), vec![removed(HOST)], live);
+    let state = after_restore(live.clone(), vec![removed(HOST)], live);
     assert_eq!(routed(&state, HOST), None, "removed before the restore");
 }
 
 #[test]
-fn earlier_hosts_absent_from_a_copy_are_kept_until_hosts_have_rewritten_their_records() {
+fn earlier_hosts_absent_from_a_backup_are_kept_until_hosts_have_rewritten_their_records() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
-    let mut state = after_copy(live, Vec::new(), list(&[]));
+    let mut state = after_restore(live, Vec::new(), list(&[]));
     assert_eq!(routed(&state, HOST), LIVE);
     assert!(state.has_earlier_hosts());
     state.discard_earlier_hosts();
@@ -291,7 +291,7 @@
         (HOST, host(HostState::Live, 1)),
         (OTHER, host(HostState::Live, 1)),
     ]);
-    let mut state = after_copy(live.clone(), Vec::new(), live);
+    let mut state = after_restore(live.clone(), Vec::new(), live);
     let leaves = changed(HOST, host(HostState::Leaving, 1));
     apply(&mut state, Version::new(SECOND, 291), leaves);
     assert_eq!(routed(&state, HOST), LEAVING);
@@ -307,7 +307,7 @@
 fn a_host_listed_as_leaving_at_the_start_of_an_era_is_leaving() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaving = list(&[(HOST, host(HostState::Leaving, 1))]);
-    let state = after_copy(live, Vec::new(), leaving);
+    let state = after_restore(live, Vec::new(), leaving);
     assert_eq!(routed(&state, HOST), LEAVING);
 }
 
@@ -323,10 +323,10 @@
 }
 
 #[test]
-fn host_states_survive_two_copies_in_a_row() {
+fn host_states_survive_two_backups_in_a_row() {
     let live = list(&[(HOST, host(HostState::Live, 1))]);
     let leaves = vec![changed(HOST, host(HostState::Leaving, 1))];
-    let mut state = after_copy(live.clone(), leaves, live.clone());
+    let mut state = after_restore(live.clone(), leaves, live.clone());
     apply(&mut state, Version::new(StoreEra::new(4), 280), live);
     assert_eq!(routed(&state, HOST), LEAVING);
 }
