--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Makes the platform unavailable for `away`, then restores it from its copy.
+    /// Makes the platform unavailable for `away`, then restores it from its backup.
     pub fn restore_platform(&mut self, away: Duration) {
         for Call { daemon, call, .. } in std::mem::take(&mut self.calls) {
             let result = Err(NoAnswer);
--- a/shalehinge/tests/relay_support/platform.rs
+++ b/shalehinge/tests/relay_support/platform.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A copy of the platform's store.
+/// A backup of the platform's store.
 struct Backup {
     revision: u64,
     changes: Vec<(u64, HostId, HostRecord)>,
@@ -72,7 +72,7 @@
 pub struct Platform {
     era: u32,
     revision: u64,
-    /// The copy that [`Self::restore`] restores.
+    /// The backup that [`Self::restore`] restores.
     backup: Option<Backup>,
     /// Generation of the last configuration written, even if a restore has lost it.
     generation: u64,
@@ -164,7 +164,7 @@
         self.configuration.fleet_version()
     }
 
-    /// Takes a copy of the store.
+    /// Takes a backup of the store.
     pub fn take_backup(&mut self) {
         self.backup = Some(Backup {
             revision: self.revision,
@@ -174,10 +174,10 @@
         });
     }
 
-    /// Restores the store from the copy in a new era: later writes are lost, and their revisions
+    /// Restores the store from the backup in a new era: later writes are lost, and their revisions
     /// are assigned again.
     pub fn restore(&mut self) {
-        let backup = self.backup.take().expect("copied before");
+        let backup = self.backup.take().expect("backed up before");
         self.era += 1;
         self.revision = backup.revision;
         self.changes = backup.changes;
--- a/shalehinge/tests/restored_platform.rs
+++ b/shalehinge/tests/restored_platform.rs
@@ -1,4 +1,4 @@
-//! A platform that is restored from a copy: it has lost its last writes and assigns their
+//! A platform that is restored from a backup: it has lost its last writes and assigns their
 //! revisions again.
 
 mod relay_support;
@@ -15,7 +15,7 @@
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
 /// Maximum time from a host's announcement that it is leaving until no daemon uses it.
 const DRAINED_WITHIN: Duration = Duration::from_secs(2);
-/// Number of writes that the copy lacks.
+/// Number of writes that the backup lacks.
 const LOST_WRITES: usize = 40;
 /// How long the platform is unavailable before it is restored.
 const OUTAGE: Duration = Duration::from_secs(2);
--- a/shalehinge/tests/store_era.rs
+++ b/shalehinge/tests/store_era.rs
@@ -166,7 +166,7 @@
     lease.note_era(at(0), StoreEra::UNREPORTED, false);
     assert!(
         written_at(&mut lease, 0, None) < 2_000,
-        "a store without eras is not restored from copies"
+        "a store without eras is not restored from backups"
     );
 }
 
@@ -249,8 +249,8 @@
 const LIVE: Option<HostState> = Some(HostState::Live);
 const LEAVING: Option<HostState> = Some(HostState::Leaving);
 
-/// The state after a host list of the first era, these changes, and the host list of a copy in the
-/// second era.
+/// The state after a host list of the first era, these changes, and the host list of a backup in
+/// the second era.
 fn after_restore(first: Object, changes: Vec<Object>, backup: Object) -> FleetState {
     let mut state = FleetState::default();
     apply(&mut state, Version::new(FIRST, 300), first);
