--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use relay_support::scene::{Scene, group};
+use relay_support::load_simulation::{LoadSimulation, group};
 use shalehinge::core::advertised_limit::RequestRate;
 use shalehinge::core::router::request::Outcome;
 
@@ -31,12 +31,12 @@
     RequestRate::per_second(value).expect("a valid rate")
 }
 
-trait LimitScene {
+trait LoadSimulationExt {
     fn limit(&mut self, index: u64, value: f64);
     fn max_in_window(&self, index: u64, since: Duration) -> usize;
 }
 
-impl LimitScene for Scene {
+impl LoadSimulationExt for LoadSimulation {
     fn limit(&mut self, index: u64, value: f64) {
         self.fleet.limits.insert(group(index), rate(value));
     }
@@ -57,8 +57,8 @@
 
 /// Asserts that the requests of all daemons to a limited upstream stay within what users
 /// tolerate.
-fn assert_limit_holds(scene: &Scene, index: u64, value: f64, since: Duration) {
-    let max_in_window = scene.max_in_window(index, since);
+fn assert_limit_holds(simulation: &LoadSimulation, index: u64, value: f64, since: Duration) {
+    let max_in_window = simulation.max_in_window(index, since);
     let allowed = allowed_in_window(value);
     assert!(
         max_in_window <= allowed,
@@ -68,15 +68,15 @@
 
 #[test]
 fn two_of_18_upstreams_get_no_more_than_their_limits_from_nine_daemons() {
-    let mut scene = Scene::small();
-    scene.serve_seconds(2);
-    scene.limit(0, 1.4);
-    scene.limit(1, 1.1);
-    let since = scene.fleet.now + LIMIT_DELAY;
-    scene.serve_seconds(20);
-    assert_limit_holds(&scene, 0, 1.4, since);
-    assert_limit_holds(&scene, 1, 1.1, since);
-    let (completed, submitted) = scene.served();
+    let mut simulation = LoadSimulation::small();
+    simulation.serve_seconds(2);
+    simulation.limit(0, 1.4);
+    simulation.limit(1, 1.1);
+    let since = simulation.fleet.now + LIMIT_DELAY;
+    simulation.serve_seconds(20);
+    assert_limit_holds(&simulation, 0, 1.4, since);
+    assert_limit_holds(&simulation, 1, 1.1, since);
+    let (completed, submitted) = simulation.served();
     assert_eq!(
         completed, submitted,
         "the other upstreams must serve all requests"
@@ -85,16 +85,16 @@
 
 #[test]
 fn upstreams_get_no_more_than_their_limits_from_340_daemons() {
-    let mut scene = Scene::new(340, 60, 5);
+    let mut simulation = LoadSimulation::new(340, 60, 5);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
-        scene.limit(index, value);
+        simulation.limit(index, value);
     }
-    let since = scene.fleet.now + LIMIT_DELAY;
-    scene.serve_seconds(12);
+    let since = simulation.fleet.now + LIMIT_DELAY;
+    simulation.serve_seconds(12);
     for (index, value) in [(0, 0.2), (1, 1.0), (2, 5.0)] {
-        assert_limit_holds(&scene, index, value, since);
+        assert_limit_holds(&simulation, index, value, since);
     }
-    let (completed, submitted) = scene.served();
+    let (completed, submitted) = simulation.served();
     assert_eq!(
         completed, submitted,
         "the other upstreams must serve all requests"
@@ -109,18 +109,18 @@
 fn a_limit_holds_at_any_rate_and_size_and_is_used() {
     for (daemons, groups, every) in SIZES {
         for value in [0.0, 0.2, 1.0, 1.4, 5.0, 50.0] {
-            let mut scene = Scene::new(daemons, groups, every);
-            scene.limit(0, value);
-            let since = scene.fleet.now + LIMIT_DELAY;
-            scene.serve_seconds(13);
-            assert_limit_holds(&scene, 0, value, since);
+            let mut simulation = LoadSimulation::new(daemons, groups, every);
+            simulation.limit(0, value);
+            let since = simulation.fleet.now + LIMIT_DELAY;
+            simulation.serve_seconds(13);
+            assert_limit_holds(&simulation, 0, value, since);
             let least = value.min(1.0) / 4.0;
-            let used = scene.rate_since(0, since);
+            let used = simulation.rate_since(0, since);
             assert!(
                 used >= least,
                 "{used}/s used of a limit of {value}/s with {daemons} daemons"
             );
-            let (completed, submitted) = scene.served();
+            let (completed, submitted) = simulation.served();
             assert_eq!(
                 completed, submitted,
                 "not all served at a limit of {value}/s with {daemons} daemons"
@@ -131,39 +131,42 @@
 
 #[test]
 fn a_changed_limit_takes_effect() {
-    let mut scene = Scene::small();
-    scene.limit(0, 20.0);
-    scene.serve_seconds(6);
-    scene.limit(0, 0.5);
-    let since = scene.fleet.now + LIMIT_DELAY;
-    scene.serve_seconds(10);
-    assert_limit_holds(&scene, 0, 0.5, since);
-    scene.limit(0, 5.0);
-    scene.serve_seconds(4);
-    let since = scene.fleet.now;
-    scene.serve_seconds(8);
-    assert_limit_holds(&scene, 0, 5.0, since);
+    let mut simulation = LoadSimulation::small();
+    simulation.limit(0, 20.0);
+    simulation.serve_seconds(6);
+    simulation.limit(0, 0.5);
+    let since = simulation.fleet.now + LIMIT_DELAY;
+    simulation.serve_seconds(10);
+    assert_limit_holds(&simulation, 0, 0.5, since);
+    simulation.limit(0, 5.0);
+    simulation.serve_seconds(4);
+    let since = simulation.fleet.now;
+    simulation.serve_seconds(8);
+    assert_limit_holds(&simulation, 0, 5.0, since);
     assert!(
-        scene.rate_since(0, since) > 1.0,
+        simulation.rate_since(0, since) > 1.0,
         "the higher limit must be used"
     );
 }
 
 #[test]
 fn an_upstream_whose_limit_ends_gets_its_share_again() {
-    let mut scene = Scene::small();
-    scene.limit(0, 0.0);
-    scene.serve_seconds(8);
-    scene.fleet.limits.clear();
-    scene.serve_seconds(6);
-    let since = scene.fleet.now;
-    scene.serve_seconds(6);
-    let (limited, other) = (scene.rate_since(0, since), scene.rate_since(7, since));
+    let mut simulation = LoadSimulation::small();
+    simulation.limit(0, 0.0);
+    simulation.serve_seconds(8);
+    simulation.fleet.limits.clear();
+    simulation.serve_seconds(6);
+    let since = simulation.fleet.now;
+    simulation.serve_seconds(6);
+    let (limited, other) = (
+        simulation.rate_since(0, since),
+        simulation.rate_since(7, since),
+    );
     assert!(
         limited > other / 2.0,
         "{limited}/s, another upstream gets {other}/s"
     );
-    let held = scene
+    let held = simulation
         .fleet
         .daemons
         .iter()
@@ -173,28 +176,28 @@
 
 #[test]
 fn upstreams_without_a_limit_cause_no_messages() {
-    let mut scene = Scene::small();
-    scene.serve_seconds(2);
-    let before = scene.fleet.notices;
-    scene.serve_seconds(5);
-    assert_eq!(scene.fleet.notices, before);
+    let mut simulation = LoadSimulation::small();
+    simulation.serve_seconds(2);
+    let before = simulation.fleet.notices;
+    simulation.serve_seconds(5);
+    assert_eq!(simulation.fleet.notices, before);
 }
 
 #[test]
 fn if_all_upstreams_are_limited_their_limits_are_used_and_other_callers_retry_later() {
-    let mut scene = Scene::small();
+    let mut simulation = LoadSimulation::small();
     for index in 0..18 {
-        scene.limit(index, 2.0);
+        simulation.limit(index, 2.0);
     }
-    scene.serve_seconds(8);
-    let (since, before) = (scene.fleet.now, scene.served().0);
-    scene.serve_seconds(10);
+    simulation.serve_seconds(8);
+    let (since, before) = (simulation.fleet.now, simulation.served().0);
+    simulation.serve_seconds(10);
     for index in 0..18 {
-        assert_limit_holds(&scene, index, 2.0, since);
+        assert_limit_holds(&simulation, index, 2.0, since);
     }
-    let served = (scene.served().0 - before) as f64 / 10.0;
+    let served = (simulation.served().0 - before) as f64 / 10.0;
     assert!(served > 18.0 * 2.0 * 0.7, "{served}/s served of 36/s");
-    for outcome in &scene.fleet.outcomes {
+    for outcome in &simulation.fleet.outcomes {
         match outcome {
             Outcome::Completed => {}
             Outcome::NotRun { retry_after, .. } => assert!(*retry_after > Duration::ZERO),
@@ -203,7 +206,7 @@
     }
     // Each daemon must get requests of its callers served, whichever daemons own the limits.
     for daemon in 0..9 {
-        let arrivals = scene.fleet.arrivals.iter();
+        let arrivals = simulation.fleet.arrivals.iter();
         let own = arrivals.filter(|a| a.daemon == daemon && a.at >= since);
         assert!(
             own.count() >= 10,
@@ -214,38 +217,38 @@
 
 #[test]
 fn a_few_requests_are_sent_at_once_if_all_upstreams_are_limited() {
-    let mut scene = Scene::new(9, 2, usize::MAX);
+    let mut simulation = LoadSimulation::new(9, 2, usize::MAX);
     for index in 0..2 {
-        scene.limit(index, 2.0);
+        simulation.limit(index, 2.0);
     }
     for _ in 0..12 {
         for daemon in [0, 4, 8] {
-            scene.fleet.send_completing_stream(daemon);
+            simulation.fleet.send_completing_stream(daemon);
         }
-        scene.serve_seconds(2);
+        simulation.serve_seconds(2);
     }
-    let (completed, submitted) = scene.served();
+    let (completed, submitted) = simulation.served();
     assert_eq!((completed, submitted), (36, 36));
 }
 
 #[test]
 fn a_limit_holds_while_daemons_restart() {
-    let mut scene = Scene::small();
+    let mut simulation = LoadSimulation::small();
     for index in 0..4 {
-        scene.limit(index, 1.0);
+        simulation.limit(index, 1.0);
     }
-    let since = scene.fleet.now + LIMIT_DELAY;
-    scene.serve_seconds(4);
+    let since = simulation.fleet.now + LIMIT_DELAY;
+    simulation.serve_seconds(4);
     for daemon in 0..9 {
-        scene.fleet.dead.insert(daemon);
-        scene.serve_seconds(2);
-        scene.fleet.dead.remove(&daemon);
-        scene.serve_seconds(1);
+        simulation.fleet.dead.insert(daemon);
+        simulation.serve_seconds(2);
+        simulation.fleet.dead.remove(&daemon);
+        simulation.serve_seconds(1);
     }
     for index in 0..4 {
-        assert_limit_holds(&scene, index, 1.0, since);
+        assert_limit_holds(&simulation, index, 1.0, since);
         assert!(
-            scene.rate_since(index, since) > 0.2,
+            simulation.rate_since(index, since) > 0.2,
             "another daemon must own the limit meanwhile"
         );
     }
@@ -253,50 +256,50 @@
 
 #[test]
 fn each_side_of_a_network_partition_observes_the_limit() {
-    let mut scene = Scene::small();
-    scene.limit(0, 1.0);
-    scene.serve_seconds(5);
-    scene.fleet.partitioned.extend([0, 3, 6]);
-    let since = scene.fleet.now + LIMIT_DELAY;
-    scene.serve_seconds(12);
-    let cut = scene.fleet.partitioned.clone();
-    let arrivals = std::mem::take(&mut scene.fleet.arrivals);
+    let mut simulation = LoadSimulation::small();
+    simulation.limit(0, 1.0);
+    simulation.serve_seconds(5);
+    simulation.fleet.partitioned.extend([0, 3, 6]);
+    let since = simulation.fleet.now + LIMIT_DELAY;
+    simulation.serve_seconds(12);
+    let cut = simulation.fleet.partitioned.clone();
+    let arrivals = std::mem::take(&mut simulation.fleet.arrivals);
     let (one, other): (Vec<_>, Vec<_>) =
         arrivals.into_iter().partition(|a| cut.contains(&a.daemon));
     for side in [one, other] {
-        scene.fleet.arrivals = side;
-        assert_limit_holds(&scene, 0, 1.0, since);
+        simulation.fleet.arrivals = side;
+        assert_limit_holds(&simulation, 0, 1.0, since);
     }
-    scene.fleet.arrivals.clear();
-    scene.fleet.partitioned.clear();
-    scene.serve_seconds(4);
-    let since = scene.fleet.now;
-    scene.serve_seconds(8);
-    assert_limit_holds(&scene, 0, 1.0, since);
+    simulation.fleet.arrivals.clear();
+    simulation.fleet.partitioned.clear();
+    simulation.serve_seconds(4);
+    let since = simulation.fleet.now;
+    simulation.serve_seconds(8);
+    assert_limit_holds(&simulation, 0, 1.0, since);
 }
 
 #[test]
 fn a_limit_causes_few_messages() {
-    let mut scene = Scene::new(90, 60, 4);
-    scene.limit(0, 1.0);
-    scene.serve_seconds(12);
-    let before = scene.fleet.notices;
-    scene.serve_seconds(10);
-    let each = (scene.fleet.notices - before) as f64 / 10.0;
+    let mut simulation = LoadSimulation::new(90, 60, 4);
+    simulation.limit(0, 1.0);
+    simulation.serve_seconds(12);
+    let before = simulation.fleet.notices;
+    simulation.serve_seconds(10);
+    let each = (simulation.fleet.notices - before) as f64 / 10.0;
     assert!(each < 30.0, "{each} messages/s from 90 daemons");
 }
 
 /// Permits of a limit that was not used for a long time must not accumulate.
 #[test]
 fn an_unused_limit_does_not_accumulate_permits() {
-    let mut scene = Scene::new(9, 1, usize::MAX);
-    scene.limit(0, 5.0);
-    scene.fleet.send_completing_stream(0);
-    scene.serve_seconds(50);
-    scene.every = 1;
-    let since = scene.fleet.now;
-    scene.serve_seconds(8);
-    assert_limit_holds(&scene, 0, 5.0, since);
+    let mut simulation = LoadSimulation::new(9, 1, usize::MAX);
+    simulation.limit(0, 5.0);
+    simulation.fleet.send_completing_stream(0);
+    simulation.serve_seconds(50);
+    simulation.every = 1;
+    let since = simulation.fleet.now;
+    simulation.serve_seconds(8);
+    assert_limit_holds(&simulation, 0, 5.0, since);
 }
 
 #[test]
@@ -304,15 +307,15 @@
 fn table_of_rates_and_sizes() {
     for (daemons, groups, every) in [(3, 4, 1), (9, 18, 1), (90, 60, 4), (340, 60, 5)] {
         for value in [0.2, 1.0, 1.4, 5.0, 50.0] {
-            let mut scene = Scene::new(daemons, groups, every);
-            scene.limit(0, value);
-            let since = scene.fleet.now + LIMIT_DELAY;
-            let notices = scene.fleet.notices;
-            scene.serve_seconds(13);
-            let max_in_window = scene.max_in_window(0, since);
+            let mut simulation = LoadSimulation::new(daemons, groups, every);
+            simulation.limit(0, value);
+            let since = simulation.fleet.now + LIMIT_DELAY;
+            let notices = simulation.fleet.notices;
+            simulation.serve_seconds(13);
+            let max_in_window = simulation.max_in_window(0, since);
             let allowed = allowed_in_window(value);
-            let used = scene.rate_since(0, since);
-            let messages = (scene.fleet.notices - notices) as f64 / 13.0;
+            let used = simulation.rate_since(0, since);
+            let messages = (simulation.fleet.notices - notices) as f64 / 13.0;
             println!(
                 "{daemons} daemons, {value}/s: {max_in_window} of {allowed} in 4 s, {used:.2}/s used, {messages:.1} messages/s"
             );
--- a/shalehinge/tests/relay_support/scene.rs
+++ b/shalehinge/tests/relay_support/load_simulation.rs
@@ -18,7 +18,7 @@
 }
 
 /// A fleet under an even load of requests that complete.
-pub struct Scene {
+pub struct LoadSimulation {
     /// The simulated fleet.
     pub fleet: Fleet,
     /// Number of rounds from one request of a daemon to its next.
@@ -26,7 +26,7 @@
     round: usize,
 }
 
-impl Scene {
+impl LoadSimulation {
     /// A fleet of `daemons` daemons and `groups` groups, after 10 s in which all daemons have come
     /// to know them. Each daemon receives a request every `every` rounds.
     pub fn new(daemons: u16, groups: u16, every: usize) -> Self {
--- a/shalehinge/tests/relay_support/mod.rs
+++ b/shalehinge/tests/relay_support/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code)] // Each test file uses only some of the items.
 
 pub mod configuration;
+pub mod load_simulation;
 pub mod platform;
-pub mod scene;
 pub mod upstreams;
 
 use std::collections::{BTreeMap, BTreeSet};
