--- a/shalehinge/tests/cooldowns.rs
+++ b/shalehinge/tests/cooldowns.rs
@@ -69,8 +69,8 @@
     );
 }
 
-/// A scene in which every upstream has requested this cooldown once. Also returns when the first
-/// cooldown ends.
+/// A simulation in which every upstream has requested this cooldown once. Also returns when the
+/// first cooldown ends.
 fn all_in_cooldown_once(cooldown: Duration) -> (LoadSimulation, Duration) {
     let mut simulation = LoadSimulation::small();
     simulation.serve_seconds(2);
--- a/shalehinge/tests/relay_support/load_simulation.rs
+++ b/shalehinge/tests/relay_support/load_simulation.rs
@@ -1,4 +1,5 @@
-//! A fleet of daemons that serves requests with serving groups of one model.
+//! A simulated fleet under an even load: daemons that serve requests with serving groups of one
+//! model, and a record of the requests that the groups receive and of the outcomes.
 
 use std::time::Duration;
 
@@ -17,7 +18,8 @@
     GroupNumber(FIRST_GROUP + index)
 }
 
-/// A fleet under an even load of requests that complete.
+/// A simulated fleet under an even load of requests that complete. The fleet records the arrivals
+/// at its groups and the outcomes of requests.
 pub struct LoadSimulation {
     /// The simulated fleet.
     pub fleet: Fleet,
@@ -27,8 +29,8 @@
 }
 
 impl LoadSimulation {
-    /// A fleet of `daemons` daemons and `groups` groups, after 10 s in which all daemons have come
-    /// to know them. Each daemon receives a request every `every` rounds.
+    /// Starts `daemons` daemons and `groups` groups and runs them for 10 s, in which all daemons
+    /// learn of the groups. Each daemon receives a request every `every` rounds.
     pub fn new(daemons: u16, groups: u16, every: usize) -> Self {
         let mut fleet = Fleet::start(daemons, false);
         fleet.platform.open_groups(groups);
