--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_new_holder_keeps_the_running_groups() {
+fn a_holder_with_no_state_keeps_the_running_groups() {
     let mut domain = Domain::serving(&[8, 8]);
     let before = domain.stored.value.groups.clone();
     let order_count = domain.order_count;
