--- a/shalehinge/tests/crashing_models.rs
+++ b/shalehinge/tests/crashing_models.rs
@@ -18,7 +18,7 @@
 /// Maximum number of crashes of one engine in five minutes: three crashes identify the model, and
 /// from then on attempts wait 10 s, 20 s, 40 s and so on, which allows five of them.
 const MAX_CRASHES: usize = 3 + 5;
-const FIVE_MINUTES: Duration = Duration::from_secs(300);
+const OBSERVATION_TIME: Duration = Duration::from_secs(300);
 
 /// Number of crashes of each engine.
 fn crash_counts(domain: &Domain) -> BTreeMap<HostId, usize> {
@@ -46,7 +46,7 @@
 #[test]
 fn a_crashing_model_is_tried_with_increasing_waits() {
     let mut domain = domain_with_crashing_model();
-    domain.run_for(FIVE_MINUTES);
+    domain.run_for(OBSERVATION_TIME);
     assert!(!domain.crashes.is_empty());
     assert!(
         max_crashes(&domain) <= MAX_CRASHES,
@@ -59,7 +59,7 @@
 fn an_attempt_to_load_a_crashing_model_costs_one_engine() {
     let mut domain = domain_with_crashing_model();
     let (_, members) = domain.group_of(LARGE);
-    domain.run_for(FIVE_MINUTES);
+    domain.run_for(OBSERVATION_TIME);
     // All engines of the group may crash twice, because a single crash does not identify the
     // model.
     let limit = 2 * members.len() + (MAX_CRASHES - 2);
@@ -74,7 +74,7 @@
 fn a_crashing_model_is_tried_with_increasing_waits_while_all_groups_form() {
     let mut domain = Domain::new(&[8, 8, 8]);
     domain.crashing_model = Some(ModelName::new(LARGE));
-    domain.run_for(FIVE_MINUTES);
+    domain.run_for(OBSERVATION_TIME);
     assert!(!domain.crashes.is_empty());
     assert!(
         max_crashes(&domain) <= MAX_CRASHES,
@@ -87,7 +87,7 @@
 fn a_crashing_model_does_not_affect_other_models() {
     let mut domain = domain_with_crashing_model();
     let (small, large) = (domain.open_groups(SMALL), domain.open_groups(LARGE));
-    domain.run_for(FIVE_MINUTES);
+    domain.run_for(OBSERVATION_TIME);
     assert_eq!(domain.open_groups(SMALL), small);
     assert!(
         domain.open_groups(LARGE) >= large - 1,
--- a/shalehinge/tests/failing_requests.rs
+++ b/shalehinge/tests/failing_requests.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use router_support::{Harness, request};
+use router_support::{RouterHarness, request};
 use shalehinge::core::router::request::{AttemptEnd, UpstreamId};
 
 /// Fingerprint of a request that always fails.
@@ -20,29 +20,29 @@
 const COMPLETED: AttemptEnd = AttemptEnd::Completed { output_tokens: 8 };
 
 /// Submits a request with this fingerprint and fails all its attempts.
-fn fail(harness: &mut Harness, number: u64, fingerprint: u64) {
+fn fail(harness: &mut RouterHarness, number: u64, fingerprint: u64) {
     harness.submit(number, request().repeatable().with_fingerprint(fingerprint));
     while harness.answer(number).is_none() {
-        harness.end(number, FAILED);
+        harness.end_attempt(number, FAILED);
     }
 }
 
 /// Submits a harmless request with this fingerprint, which fails on the upstreams in `failing`
 /// and completes on others.
-fn serve(harness: &mut Harness, number: u64, fingerprint: u64, failing: &[UpstreamId]) {
+fn serve(harness: &mut RouterHarness, number: u64, fingerprint: u64, failing: &[UpstreamId]) {
     harness.submit(number, request().with_fingerprint(fingerprint));
     let runs_at = harness.upstream_of(number);
     let fails = runs_at.is_some_and(|upstream| failing.contains(&upstream));
-    harness.end(number, if fails { FAILED } else { COMPLETED });
+    harness.end_attempt(number, if fails { FAILED } else { COMPLETED });
 }
 
 /// The first `count` different upstreams that an otherwise idle daemon selects.
-fn some_upstreams(harness: &mut Harness, count: usize) -> Vec<UpstreamId> {
+fn some_upstreams(harness: &mut RouterHarness, count: usize) -> Vec<UpstreamId> {
     let mut chosen: Vec<UpstreamId> = Vec::new();
     for number in 900_000..900_100 {
         harness.submit(number, request());
         let upstream = harness.upstream_of(number).expect("an upstream with room");
-        harness.end(number, COMPLETED);
+        harness.end_attempt(number, COMPLETED);
         if chosen.len() < count && !chosen.contains(&upstream) {
             chosen.push(upstream);
         }
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_request_that_fails_everywhere_ejects_at_most_one_upstream() {
-    let mut harness = Harness::with_replicas(10);
+    let mut harness = RouterHarness::with_replicas(10);
     for number in 0..30 {
         fail(&mut harness, number, ALWAYS_FAILS);
     }
@@ -62,7 +62,7 @@
 
 #[test]
 fn several_requests_that_fail_everywhere_eject_at_most_one_upstream_each() {
-    let mut harness = Harness::with_replicas(30);
+    let mut harness = RouterHarness::with_replicas(30);
     for number in 0..90 {
         fail(&mut harness, number, ALWAYS_FAILS + number % 3);
     }
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_request_that_fails_everywhere_does_not_eject_an_upstream_on_probation() {
-    let mut harness = Harness::with_replicas(4);
+    let mut harness = RouterHarness::with_replicas(4);
     for number in 0..12 {
         fail(&mut harness, number, ALWAYS_FAILS);
     }
@@ -90,7 +90,7 @@
 
 #[test]
 fn an_upstream_that_fails_every_request_is_ejected_even_if_all_requests_are_identical() {
-    let mut harness = Harness::with_replicas(3);
+    let mut harness = RouterHarness::with_replicas(3);
     let failing = some_upstreams(&mut harness, 1);
     for number in 0..30 {
         serve(&mut harness, number, ALWAYS_FAILS, &failing);
@@ -100,7 +100,7 @@
 
 #[test]
 fn two_upstreams_that_fail_every_request_are_ejected_even_if_all_requests_are_identical() {
-    let mut harness = Harness::with_replicas(10);
+    let mut harness = RouterHarness::with_replicas(10);
     let mut failing = some_upstreams(&mut harness, 2);
     for number in 0..100 {
         serve(&mut harness, number, ALWAYS_FAILS, &failing);
@@ -113,7 +113,7 @@
 
 #[test]
 fn upstreams_that_fail_every_request_are_ejected_despite_a_request_that_always_fails() {
-    let mut harness = Harness::with_replicas(10);
+    let mut harness = RouterHarness::with_replicas(10);
     let mut failing = some_upstreams(&mut harness, 3);
     for number in 0..100 {
         fail(&mut harness, 1_000 + number, ALWAYS_FAILS);
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -331,8 +331,8 @@
     domain.set_loads(100.0, Some(6.0));
     add_hosts_without_weights(&mut domain, 20);
     domain.run_for(seconds(10));
-    let second_weights = domain.stage_times.len();
-    assert!((1..=3).contains(&second_weights), "{second_weights}");
+    let staged_count = domain.stage_times.len();
+    assert!((1..=3).contains(&staged_count), "{staged_count}");
 }
 
 fn work(large: f64, small: f64) -> FleetWork {
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -217,12 +217,19 @@
     }
 
     /// Runs until the condition holds, for at most a minute. Returns the elapsed time.
-    pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
+    pub fn run_until(
+        &mut self,
+        condition_name: &str,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Duration {
         let started_at = self.now;
         while !condition(self) {
             self.step();
             let elapsed = self.now.since(started_at);
-            assert!(elapsed < Duration::from_secs(60), "not within 60 s: {what}");
+            assert!(
+                elapsed < Duration::from_secs(60),
+                "not within 60 s: {condition_name}"
+            );
         }
         self.now.since(started_at)
     }
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -42,12 +42,12 @@
             held: HeldWeights::new(),
             replica_demand: ReplicaDemand::new(),
         };
-        domain.customer("all", 1);
+        domain.add_customer("all", 1);
         domain
     }
 
     /// Adds a fabric domain with hosts `name0`, `name1` and so on.
-    pub fn fabric(mut self, name: &str, hosts: u16) -> Self {
+    pub fn with_fabric_domain(mut self, name: &str, hosts: u16) -> Self {
         self.add_hosts(name, 0..hosts);
         self
     }
@@ -83,7 +83,7 @@
         self.held = hosts.map(|host| (host.clone(), held.clone())).collect();
     }
 
-    pub fn customer(&mut self, name: &str, share: u32) -> &mut Self {
+    pub fn add_customer(&mut self, name: &str, share: u32) -> &mut Self {
         let customer = CustomerConfig {
             key_sha256: Vec::new(),
             share,
@@ -93,15 +93,21 @@
         self
     }
 
-    pub fn want(&mut self, model: &str, hosts: u32, replicas: u32) {
-        self.want_for("all", model, hosts, replicas);
+    pub fn set_replicas(&mut self, model: &str, hosts_per_replica: u32, replicas: u32) {
+        self.set_replicas_for("all", model, hosts_per_replica, replicas);
     }
 
-    pub fn want_for(&mut self, owner: &str, model: &str, hosts: u32, replicas: u32) {
+    pub fn set_replicas_for(
+        &mut self,
+        owner: &str,
+        model: &str,
+        hosts_per_replica: u32,
+        replicas: u32,
+    ) {
         let intent = ModelIntent {
             owner: Customer::new(owner),
             version: ModelVersion::new("v1"),
-            hosts_per_replica: hosts,
+            hosts_per_replica,
             replicas: BTreeMap::from([(self.name.clone(), replicas)]),
         };
         self.fleet.models.insert(ModelName::new(model), intent);
@@ -117,7 +123,7 @@
     }
 
     /// Fails a host and marks its group as lost.
-    pub fn lose_host(&mut self, host: &str) {
+    pub fn fail_host(&mut self, host: &str) {
         let host = HostId::new(host);
         let groups = self.assignment.groups.iter();
         let lost = groups.filter(|(_, group)| group.contains(&host));
@@ -131,7 +137,7 @@
         self.unreachable.insert(HostId::new(host));
     }
 
-    pub fn steps(&self) -> Vec<PlacementStep> {
+    pub fn planned_steps(&self) -> Vec<PlacementStep> {
         next_steps(&PlacementContext {
             domain: &self.name,
             fleet: &self.fleet,
@@ -184,7 +190,7 @@
     pub fn run_until_stable(&mut self) -> Vec<PlacementStep> {
         let mut all = Vec::new();
         for _ in 0..50 {
-            let steps = self.steps();
+            let steps = self.planned_steps();
             if steps.is_empty() {
                 return all;
             }
@@ -195,12 +201,12 @@
         panic!("does not converge: {all:?}");
     }
 
-    pub fn count(&self, phase: GroupPhase) -> usize {
+    pub fn group_count(&self, phase: GroupPhase) -> usize {
         let groups = self.assignment.groups.values();
         groups.filter(|group| group.phase == phase).count()
     }
 
-    pub fn all_of_version(&self, version: &str) -> bool {
+    pub fn all_groups_serve(&self, version: &str) -> bool {
         let mut groups = self.assignment.groups.values();
         groups.all(|group| group.version.as_str() == version && group.phase == GroupPhase::Serving)
     }
@@ -213,7 +219,7 @@
         members.map(|member| member.host.to_string()).collect()
     }
 
-    pub fn releasing(&self) -> Vec<&str> {
+    pub fn releasing_hosts(&self) -> Vec<&str> {
         let hosts = self.assignment.releasing.keys();
         hosts.map(|host| host.as_str()).collect()
     }
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -376,7 +376,7 @@
     }
 
     /// Calls an admin operation of the platform: `copy` takes a backup, `restore` restores it.
-    fn platform_admin(&self, operation: &str) {
+    fn call_platform_admin(&self, operation: &str) {
         let path = format!("/admin/{operation}");
         let response = send_request(self.platform, "PUT", &path, &[], "");
         assert_eq!(response.status, 204);
@@ -384,13 +384,13 @@
 
     /// Takes a backup of the platform's store.
     pub fn back_up_platform(&self) {
-        self.platform_admin("copy");
+        self.call_platform_admin("copy");
     }
 
     /// Restores the platform's store from its backup. Writes since the backup are lost, and their
     /// versions are assigned again.
     pub fn restore_platform(&self) {
-        self.platform_admin("restore");
+        self.call_platform_admin("restore");
     }
 
     /// Sets the fault of all engines.
--- a/shalehinge/tests/quarantine_harmless.rs
+++ b/shalehinge/tests/quarantine_harmless.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use relay_support::Fleet;
-use router_support::{Harness, request};
+use router_support::{RouterHarness, request};
 use shalehinge::core::router::request::{AttemptEnd, UpstreamId};
 
 /// Time within which a harmless request must be served once an upstream could run it.
@@ -27,37 +27,41 @@
 const CRASHING: u64 = 1_000_000;
 
 /// Ends those of the given requests that run at this upstream as lost.
-fn lose_requests_at(harness: &mut Harness, upstream: &UpstreamId, numbers: std::ops::Range<u64>) {
+fn lose_requests_at(
+    harness: &mut RouterHarness,
+    upstream: &UpstreamId,
+    numbers: std::ops::Range<u64>,
+) {
     for number in numbers {
         if harness.upstream_of(number).as_ref() == Some(upstream) {
-            harness.end(number, AttemptEnd::Lost);
+            harness.end_attempt(number, AttemptEnd::Lost);
         }
     }
 }
 
 /// Whether a request with this fingerprint is sent to an upstream now; if so, it is completed.
-fn is_served(harness: &mut Harness, number: u64, fingerprint: u64) -> bool {
+fn is_served(harness: &mut RouterHarness, number: u64, fingerprint: u64) -> bool {
     harness.submit(number, request().with_fingerprint(fingerprint));
     let is_sent = harness.attempts(number) > 0;
-    harness.end(number, AttemptEnd::Completed { output_tokens: 8 });
+    harness.end_attempt(number, AttemptEnd::Completed { output_tokens: 8 });
     is_sent
 }
 
 #[test]
 fn a_request_that_ran_on_two_upstreams_that_went_dark_is_served_again_soon() {
-    let mut harness = Harness::with_replicas(6);
+    let mut harness = RouterHarness::with_replicas(6);
     harness.upstreams_crash = true;
     harness.submit(1, request().with_fingerprint(7));
-    harness.end(1, AttemptEnd::Lost);
+    harness.end_attempt(1, AttemptEnd::Lost);
     harness.submit(2, request().with_fingerprint(7));
-    harness.end(2, AttemptEnd::Lost);
+    harness.end_attempt(2, AttemptEnd::Lost);
     harness.advance(MAX_DELAY);
     assert!(is_served(&mut harness, 3, 7));
 }
 
 #[test]
 fn requests_that_ran_beside_one_that_crashes_upstreams_are_served_again_soon() {
-    let mut harness = Harness::with_replicas(4);
+    let mut harness = RouterHarness::with_replicas(4);
     harness.upstreams_crash = true;
     for round in 0..2 {
         let first = 1 + round * 100;
@@ -68,7 +72,7 @@
         }
         lose_requests_at(&mut harness, &crashed_upstream, first..first + 100);
         for number in first..first + 100 {
-            harness.end(number, AttemptEnd::Completed { output_tokens: 8 });
+            harness.end_attempt(number, AttemptEnd::Completed { output_tokens: 8 });
         }
     }
     harness.advance(MAX_DELAY);
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -80,11 +80,11 @@
     Target::Model(ModelName::new("m"))
 }
 
-pub struct Harness {
+pub struct RouterHarness {
     pub router: Router,
     now: Timestamp,
     rng: SmallRng,
-    replicas: u64,
+    replica_count: u64,
     sent: BTreeMap<u64, Vec<Attempt>>,
     answers: BTreeMap<u64, Outcome>,
     /// Whether upstreams at which attempts are lost have crashed.
@@ -95,22 +95,22 @@
     pub defers_checks: bool,
 }
 
-impl Harness {
+impl RouterHarness {
     /// Creates a router that has received reports of all its replicas as complete and idle.
-    pub fn with_replicas(replicas: u64) -> Self {
+    pub fn with_replicas(replica_count: u64) -> Self {
         let settings = RouterSettings::default();
         let mut harness = Self {
             router: Router::new(settings, Incarnation(1)),
             now: Timestamp::from_millis(1_000),
             rng: SmallRng::seed_from_u64(1),
-            replicas,
+            replica_count,
             sent: BTreeMap::new(),
             answers: BTreeMap::new(),
             upstreams_crash: false,
             grants_trials: true,
             defers_checks: false,
         };
-        let specs = (0..replicas).map(spec).collect();
+        let specs = (0..replica_count).map(spec).collect();
         harness
             .router
             .set_topology(Topology::from([(target(), specs)]));
@@ -128,16 +128,16 @@
     }
 
     /// Reduces the topology to the first `replicas` replicas.
-    pub fn keep_replicas(&mut self, replicas: u64) {
-        self.replicas = replicas;
-        let specs = (0..replicas).map(spec).collect();
+    pub fn keep_replicas(&mut self, replica_count: u64) {
+        self.replica_count = replica_count;
+        let specs = (0..replica_count).map(spec).collect();
         self.router
             .set_topology(Topology::from([(target(), specs)]));
     }
 
     /// Fails a report of every replica, so that none counts as complete.
     pub fn fail_all_reports(&mut self) {
-        for number in 0..self.replicas {
+        for number in 0..self.replica_count {
             let mut out = Vec::new();
             let id = spec(number).id;
             let now = self.now;
@@ -145,12 +145,12 @@
                 .on_report(now, now, &id, None, &mut self.rng, &mut out);
             self.handle(out);
         }
-        self.replicas = 0;
+        self.replica_count = 0;
     }
 
     /// Reports a replica as complete, based on a member check of this age.
     pub fn report_with_check_age(&mut self, number: u64, age: Duration) {
-        let mut status = idle(number);
+        let mut status = idle_status(number);
         status.members_age_ms = age.as_millis() as u64;
         let (id, now) = (spec(number).id, self.now);
         let mut out = Vec::new();
@@ -166,8 +166,8 @@
             let mut out = Vec::new();
             for wanted in self.router.reports_wanted(self.now) {
                 let number = wanted.group.map_or(0, |group| group.0);
-                if with_reports && number < self.replicas {
-                    let status = idle(number);
+                if with_reports && number < self.replica_count {
+                    let status = idle_status(number);
                     let (id, now) = (wanted.id, self.now);
                     self.router
                         .on_report(now, now, &id, Some(&status), &mut self.rng, &mut out);
@@ -192,7 +192,7 @@
     }
 
     /// Submits requests until one is not sent immediately.
-    pub fn fill(&mut self) {
+    pub fn fill_upstreams(&mut self) {
         let mut number = 1_000;
         while self.submit(number, request()).is_some() {
             number += 1;
@@ -200,7 +200,7 @@
     }
 
     /// Ends the last attempt of a request, if there is one.
-    pub fn end(&mut self, number: u64, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, number: u64, end: AttemptEnd) {
         self.end_with_attempt_of(number, number, end);
     }
 
@@ -329,7 +329,7 @@
     }
 }
 
-fn idle(number: u64) -> EngineStatus {
+fn idle_status(number: u64) -> EngineStatus {
     EngineStatus {
         host: HostId::new("h"),
         phase: EnginePhase::Ready,
