--- a/shalehinge/tests/crashing_models.rs
+++ b/shalehinge/tests/crashing_models.rs
@@ -1,11 +1,10 @@
 //! Tests of a model whose loading crashes every engine that tries it.
 //!
-//! Guards against endless retries: the engine restarts, and the lease holder orders it to load
-//! the model again, four times per second until the group times out, and then orders other hosts.
-//! Each order uses part of the load rate. It came about because nothing recorded that the load
-//! crashed the engine, and a member that the list shows in no group is ordered to join. Measured:
-//! 1,086 crashes of four engines in five minutes while one group formed again, and 95,744 crashes
-//! of 16 engines while all groups formed and loads were unlimited.
+//! Guards against endless retries: a member that the list shows in no group is ordered to join,
+//! and nothing recorded that the load had crashed its engine. The lease holder repeated the order
+//! four times per second until the group timed out, and then ordered other hosts; each order used
+//! part of the load rate. Measured: 1,086 crashes of four engines in five minutes while one group
+//! formed again, and 95,744 crashes of 16 engines while all groups formed and loads were unlimited.
 
 mod ordered_support;
 
@@ -18,6 +17,7 @@
 /// Maximum number of crashes of one engine in five minutes: three crashes identify the model, and
 /// from then on attempts wait 10 s, 20 s, 40 s and so on, which allows five of them.
 const MAX_CRASHES: usize = 3 + 5;
+/// Time over which crashes are counted.
 const OBSERVATION_TIME: Duration = Duration::from_secs(300);
 
 /// Number of crashes of each engine.
@@ -29,6 +29,7 @@
     crash_counts
 }
 
+/// Number of crashes of the engine that crashed most often.
 fn max_crashes(domain: &Domain) -> usize {
     crash_counts(domain).into_values().max().unwrap_or(0)
 }
--- a/shalehinge/tests/ordered.rs
+++ b/shalehinge/tests/ordered.rs
@@ -335,6 +335,7 @@
     assert!((1..=3).contains(&staged_count), "{staged_count}");
 }
 
+/// Work of the fleet at these requests per second for the large and the small model.
 fn work(large: f64, small: f64) -> FleetWork {
     let of_model = |requests: f64| ModelWork {
         requests,
@@ -418,12 +419,10 @@
     assert_eq!(host(0).as_str(), "host-00");
 }
 
-/// Guards against a new holder that uses a host which is still in an old group. Rank 0 and
-/// another member of a group were cut off from the platform, and the group was dissolved without
-/// them. After a lease handover the new holder put the other member, which was listed again, into
-/// a new group within 100 ms, while rank 0 was still open and the member had not been ordered to
-/// leave. The list showed the member in its old group, but was older than the new holder's first
-/// read of the assignment and was therefore ignored.
+/// Guards against a new lease holder that puts a host into a new group while rank 0 of its old one
+/// is still open. The old group had been dissolved while both were cut off from the platform. The
+/// list showed the host in that group, but was older than the lease holder's first read of the
+/// assignment and was ignored: the host was used within 100 ms, without an order to leave.
 #[test]
 fn a_new_holder_with_an_old_list_uses_no_host_that_is_listed_in_a_group() {
     let mut domain = Domain::serving(&[6]);
@@ -549,10 +548,10 @@
     }
 }
 
-/// Guards against a holder that takes its own network failure for lost hosts. A lease holder
-/// whose link was saturated by a large configuration got no timely answers to its probes, and
-/// routers with the same problem saw no output. It dissolved all nine groups of its failure
-/// domain, none of which had lost a member, and cut off the streams of 200 callers.
+/// Guards against a lease holder that takes its own network failure for lost hosts. A large
+/// configuration saturated its link, so its probes were answered late, and routers with the same
+/// problem saw no output. It dissolved all nine groups of its failure domain, none of which had
+/// lost a member, and cut off the streams of 200 callers.
 #[test]
 fn a_holder_without_answers_dissolves_nothing() {
     for stall_ms in [500, 2_000, 5_000] {
@@ -574,7 +573,7 @@
     }
 }
 
-/// The same failure, with most probes answered too late.
+/// Guards against the same failure when most probes are not answered in time.
 #[test]
 fn a_holder_with_few_answers_dissolves_nothing() {
     let mut domain = Domain::serving(&[9, 9]);
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -4,7 +4,7 @@
 //! simulation panics when a host joins a group while rank 0 of its current group takes requests,
 //! and when a group opens that is not complete.
 
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,48 +25,72 @@
 };
 use shalehinge::settings::control::{Assembly, ControlSettings};
 
+/// Simulated time between two ticks of the controller.
 const STEP: Duration = Duration::from_millis(50);
 /// Time after which a probe is considered unanswered.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time in which an engine that has the weights joins a group.
 const WARM_JOIN_TIME: Duration = Duration::from_millis(1_500);
+/// Time in which an engine that must load the weights first joins a group.
 const COLD_JOIN_TIME: Duration = Duration::from_secs(15);
 
+/// Model with four hosts per replica.
 pub const LARGE: &str = "s/large";
+/// Model with two hosts per replica.
 pub const SMALL: &str = "s/small";
 
 /// Simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
+    /// Group that it joined and has not left.
     pub group: Option<GroupNumber>,
+    /// State of the engine that it reports.
     pub phase: EnginePhase,
+    /// Models whose weights are staged on its host.
     pub staged: Vec<ModelName>,
     /// Model of its last group, which it holds in memory.
     pub model: Option<ModelName>,
+    /// Whether the host list contains its host.
     pub is_listed: bool,
+    /// Whether it answers orders and probes.
     pub is_reachable: bool,
+    /// Whether the host list shows its host as leaving.
     pub is_leaving: bool,
+    /// Index of its host's fabric domain.
     fabric: usize,
+    /// Members of the last group that it joined, rank 0 first.
     members: Vec<HostId>,
+    /// Time at which its current load ends.
     ready_at: Timestamp,
+    /// Newest group that it joined; load orders of older groups are rejected.
     newest_group: GroupNumber,
+    /// Start time by the clock of its host.
     started: EngineStart,
 }
 
 /// Simulated failure domain with its controller.
 pub struct Domain {
+    /// The controller under test.
     pub controller: Controller,
+    /// The engines by their hosts.
     pub engines: BTreeMap<HostId, Engine>,
+    /// The assignment in the platform's store.
     pub stored: Versioned<Assignment>,
+    /// Simulated time.
     pub now: Timestamp,
-    /// Whether the host list is still updated.
+    /// Whether the controller's host list follows the state of the engines.
     pub list_updates: bool,
+    /// Whether loads are exempt from the load rate. They then take a tenth of the usual time.
     pub loads_are_unlimited: bool,
+    /// Times at which loads of weights began, including those for staging.
     pub load_times: Vec<Timestamp>,
     /// Times at which weights of second models were staged.
     pub stage_times: Vec<Timestamp>,
+    /// Number of orders that the controller sent.
     pub order_count: usize,
     /// Orders that were not answered and are carried out later.
     pub late_orders: Vec<(HostId, Order)>,
+    /// Whether orders remain unanswered and are kept in `late_orders`.
     pub drops_answers: bool,
     /// Groups that produce output according to some router.
     pub producing_output: Vec<GroupNumber>,
@@ -78,11 +102,15 @@
     pub crashing_model: Option<ModelName>,
     /// Engines that crashed during a load, and when.
     pub crashes: Vec<(Timestamp, HostId)>,
+    /// Configuration and host list that the controller's daemon knows.
     state: FleetState,
+    /// Version of the last host list.
     list_version: u64,
+    /// Time of the last host list.
     as_of: Timestamp,
 }
 
+/// The id of the host with this number.
 pub fn host(number: usize) -> HostId {
     HostId::new(&format!("host-{number:02}"))
 }
@@ -209,6 +237,7 @@
             .insert(host(self.engines.len()), Engine::new(fabric));
     }
 
+    /// Runs the simulation for this time.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -216,7 +245,11 @@
         }
     }
 
-    /// Runs until the condition holds, for at most a minute. Returns the elapsed time.
+    /// Runs until the condition holds. Returns the elapsed time.
+    ///
+    /// # Panics
+    ///
+    /// Panics with `condition_name` if the condition does not hold within a minute.
     pub fn run_until(
         &mut self,
         condition_name: &str,
@@ -234,18 +267,20 @@
         self.now.since(started_at)
     }
 
-    /// The current host list, for a successor that lags behind.
+    /// The host list as the controller knows it, with its time, for a later lease holder that lags
+    /// behind.
     pub fn current_list(&self) -> (FleetState, Timestamp) {
         (self.state.clone(), self.as_of)
     }
 
-    /// The updated host list, as it is just before a successor first reads the assignment.
+    /// Like [`Self::current_list`], after an update: the list just before a new lease holder first
+    /// reads the assignment.
     pub fn updated_list(&mut self) -> (FleetState, Timestamp) {
         self.update_list();
         self.current_list()
     }
 
-    /// Hands control over to another daemon that has only this list and receives no newer one.
+    /// Hands the lease over to another daemon that has only this list and receives no newer one.
     pub fn change_holder_with_list(&mut self, (state, as_of): (FleetState, Timestamp)) {
         self.change_holder();
         self.state = state;
@@ -253,7 +288,8 @@
         self.list_updates = false;
     }
 
-    /// Hands control over to another daemon that knows only the stored assignment.
+    /// Hands the lease over to another daemon, whose controller knows nothing of the groups but
+    /// the stored assignment.
     pub fn change_holder(&mut self) {
         self.controller = Controller::new(settings(), FailureDomain::new("d"));
     }
@@ -484,6 +520,7 @@
         (*number, members)
     }
 
+    /// The engine of this host.
     pub fn engine(&mut self, host: &HostId) -> &mut Engine {
         self.engines.get_mut(host).expect("known")
     }
--- a/shalehinge/tests/placement_support/mod.rs
+++ b/shalehinge/tests/placement_support/mod.rs
@@ -15,21 +15,25 @@
     Customer, FabricDomain, FailureDomain, GroupNumber, HostId, ModelName, ModelVersion,
 };
 
+/// A failure domain whose planned steps are applied without a controller.
 pub struct Domain {
     name: FailureDomain,
     fleet: FleetConfig,
     hosts: HostList,
     assignment: Assignment,
     unreachable: BTreeSet<HostId>,
+    /// Lost groups, each with the lost member if it is known.
     lost: BTreeMap<GroupNumber, Option<HostId>>,
     /// Whether replica counts follow from work shares, so that models preempt each other.
     pub follows_shares: bool,
+    /// Weights that each host holds.
     pub held: HeldWeights,
     /// Replicas that the workload of each model keeps busy; empty if unknown.
     pub replica_demand: ReplicaDemand,
 }
 
 impl Domain {
+    /// Creates a failure domain without hosts, and the customer `all` with a share of 1.
     pub fn new() -> Self {
         let mut domain = Self {
             name: FailureDomain::new("d"),
@@ -83,6 +87,7 @@
         self.held = hosts.map(|host| (host.clone(), held.clone())).collect();
     }
 
+    /// Adds a customer with this share to the configuration.
     pub fn add_customer(&mut self, name: &str, share: u32) -> &mut Self {
         let customer = CustomerConfig {
             key_sha256: Vec::new(),
@@ -93,10 +98,12 @@
         self
     }
 
+    /// Configures replicas of a model that customer `all` owns.
     pub fn set_replicas(&mut self, model: &str, hosts_per_replica: u32, replicas: u32) {
         self.set_replicas_for("all", model, hosts_per_replica, replicas);
     }
 
+    /// Configures version `v1` of a model, with this number of replicas in the failure domain.
     pub fn set_replicas_for(
         &mut self,
         owner: &str,
@@ -113,11 +120,13 @@
         self.fleet.models.insert(ModelName::new(model), intent);
     }
 
+    /// Changes the configured version of a model.
     pub fn change_version(&mut self, model: &str, version: &str) {
         let intent = self.fleet.models.get_mut(&ModelName::new(model));
         intent.expect("wanted").version = ModelVersion::new(version);
     }
 
+    /// Marks a host as draining in the configuration.
     pub fn drain(&mut self, host: &str) {
         self.fleet.draining.insert(HostId::new(host));
     }
@@ -137,6 +146,7 @@
         self.unreachable.insert(HostId::new(host));
     }
 
+    /// Returns the steps that the planner takes next.
     pub fn planned_steps(&self) -> Vec<PlacementStep> {
         next_steps(&PlacementContext {
             domain: &self.name,
@@ -154,6 +164,11 @@
         })
     }
 
+    /// Applies steps to the assignment.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a step assigns a host twice.
     pub fn apply(&mut self, steps: &[PlacementStep]) {
         for step in steps {
             if let PlacementStep::Dissolve { group, .. } = step {
@@ -173,7 +188,8 @@
         }
     }
 
-    /// Lets all forming groups serve, and all live hosts confirm their release.
+    /// Lets all forming groups serve, all reachable hosts confirm their release, and all retiring
+    /// groups end.
     pub fn finish_changes(&mut self) {
         self.finish_loads();
         let unreachable = &self.unreachable;
@@ -187,6 +203,10 @@
     }
 
     /// Applies and completes steps until the planner returns none. Returns all steps.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the planner still returns steps after 50 rounds.
     pub fn run_until_stable(&mut self) -> Vec<PlacementStep> {
         let mut all = Vec::new();
         for _ in 0..50 {
@@ -201,11 +221,13 @@
         panic!("does not converge: {all:?}");
     }
 
+    /// Number of groups in this phase.
     pub fn group_count(&self, phase: GroupPhase) -> usize {
         let groups = self.assignment.groups.values();
         groups.filter(|group| group.phase == phase).count()
     }
 
+    /// Whether all groups serve, with this version of their model.
     pub fn all_groups_serve(&self, version: &str) -> bool {
         let mut groups = self.assignment.groups.values();
         groups.all(|group| group.version.as_str() == version && group.phase == GroupPhase::Serving)
@@ -219,6 +241,7 @@
         members.map(|member| member.host.to_string()).collect()
     }
 
+    /// Hosts that have not confirmed their release.
     pub fn releasing_hosts(&self) -> Vec<&str> {
         let hosts = self.assignment.releasing.keys();
         hosts.map(|host| host.as_str()).collect()
--- a/shalehinge/tests/process_support/mod.rs
+++ b/shalehinge/tests/process_support/mod.rs
@@ -4,7 +4,7 @@
 //! Tests poll for conditions, with a generous time-out, instead of sleeping for fixed times.
 //! Every daemon process is killed when its handle is dropped, also when a test fails.
 
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -32,10 +32,12 @@
 /// Time-out of each wait and read. It is generous, as the machine may be busy.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// A loopback address with a port that the system chooses.
 fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
+/// The SHA-256 digest of a text, in hexadecimal digits.
 fn sha256(text: &str) -> String {
     use sha2::Digest;
     hex(&sha2::Sha256::digest(text.as_bytes()))
@@ -324,6 +326,7 @@
         daemon
     }
 
+    /// Configures a customer, a plain service and one replica of two hosts.
     fn configure(&self, daemon: &DaemonProcess) {
         let mut configuration = Configuration::default();
         let customer = CustomerConfig {
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -23,9 +23,10 @@
 };
 use shalehinge::settings::router::RouterSettings;
 
+/// Simulated time between two ticks of the router.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Builds a request.
+/// Builds a request, with a fingerprint if it is not to follow from the request's number.
 #[derive(Clone)]
 pub struct RequestBuilder(RequestMeta, Option<Fingerprint>);
 
@@ -53,23 +54,25 @@
 }
 
 impl RequestBuilder {
+    /// Marks the request as safe to repeat.
     pub fn repeatable(mut self) -> Self {
         self.0.repeatable = true;
         self
     }
 
-    /// It carries an API key that can be revoked.
+    /// Adds an API key that can be revoked.
     pub fn with_key(mut self) -> Self {
         self.0.credential = Some("a-hash".into());
         self
     }
 
-    /// It has the given fingerprint instead of one equal to its number.
+    /// Sets the fingerprint, which is otherwise equal to the request's number.
     pub fn with_fingerprint(mut self, number: u64) -> Self {
         self.1 = Some(Fingerprint(number));
         self
     }
 
+    /// Sets the customer that the request belongs to.
     pub fn with_customer(mut self, customer: &str) -> Self {
         self.0.customer = Customer::new(customer);
         self
@@ -80,12 +83,16 @@
     Target::Model(ModelName::new("m"))
 }
 
+/// A router with simulated time, which records the attempts and answers that it sends.
 pub struct RouterHarness {
     pub router: Router,
     now: Timestamp,
     rng: SmallRng,
+    /// Number of replicas that send reports; their numbers start at 0.
     replica_count: u64,
+    /// Attempts that were sent, by the number of the request.
     sent: BTreeMap<u64, Vec<Attempt>>,
+    /// Outcomes that callers received, by the number of the request.
     answers: BTreeMap<u64, Outcome>,
     /// Whether upstreams at which attempts are lost have crashed.
     pub upstreams_crash: bool,
@@ -123,6 +130,7 @@
         self.advance_time(time, true);
     }
 
+    /// Advances time, without reports of replicas.
     pub fn advance_without_reports(&mut self, time: Duration) {
         self.advance_time(time, false);
     }
@@ -231,7 +239,7 @@
         self.handle(out);
     }
 
-    /// Cancels a request, as its caller left.
+    /// Cancels a request, as when its caller disconnects.
     pub fn cancel(&mut self, number: u64) {
         let mut out = Vec::new();
         self.router.cancel(RequestId(number), &mut out);
@@ -254,15 +262,18 @@
             .collect()
     }
 
+    /// Number of attempts that were sent for a request.
     pub fn attempts(&self, number: u64) -> usize {
         self.sent.get(&number).map_or(0, Vec::len)
     }
 
+    /// Upstream of the first attempt of a request.
     pub fn upstream_of(&self, number: u64) -> Option<UpstreamId> {
         let sent = self.sent.get(&number)?;
         sent.first().map(|attempt| attempt.upstream.clone())
     }
 
+    /// The outcome of a request, if it was answered.
     pub fn answer(&self, number: u64) -> Option<Outcome> {
         self.answers.get(&number).copied()
     }
