--- a/shalehinge/tests/configuration_spread.rs
+++ b/shalehinge/tests/configuration_spread.rs
@@ -25,13 +25,11 @@
 
 /// Guards against pull replies that saturate the link of a daemon that is behind. An operator adds
 /// 1,800 routes and then revokes keys, one change every 1.8 s. Every pull reply, whatever its
-/// topic, once carried all newer objects (145 kB), so several peers a second sent the whole
-/// configuration. Together the replies took longer than a pull's time-out of 1 s: all were
-/// abandoned and requested again, with 24 pulls open at a time.
-///
-/// One of 68 daemons therefore sent requests with a revoked key for more than six seconds. Its
-/// link received 2.5 MB/s, its full 20 Mbit/s, for nine seconds, while the platform was healthy,
-/// the processor nearly idle, and ticks at most 6 ms late.
+/// topic, once carried all newer objects (145 kB), from several peers a second. The replies took
+/// longer than a pull's time-out of 1 s: all were abandoned and requested again, with 24 pulls
+/// open at a time. One of 68 daemons sent requests with a revoked key for more than six seconds:
+/// its link received 2.5 MB/s, its full 20 Mbit/s, for nine seconds, while the platform was
+/// healthy, the processor nearly idle, and ticks at most 6 ms late.
 #[test]
 fn a_daemon_that_is_behind_catches_up_over_a_busy_link() {
     let mut fleet = Fleet::new(DAEMONS);
--- a/shalehinge/tests/crashing_models.rs
+++ b/shalehinge/tests/crashing_models.rs
@@ -4,7 +4,7 @@
 //! and nothing recorded that the load had crashed its engine. The lease holder repeated the order
 //! four times per second until the group timed out, and then ordered other hosts; each order used
 //! part of the load rate. Measured: 1,086 crashes of four engines in five minutes while one group
-//! formed again, and 95,744 crashes of 16 engines while all groups formed and loads were unlimited.
+//! formed again, and 95,744 crashes of 16 engines while all groups formed with unlimited loads.
 
 mod ordered_support;
 
--- a/shalehinge/tests/failing_requests.rs
+++ b/shalehinge/tests/failing_requests.rs
@@ -1,11 +1,9 @@
 //! Requests that fail on every upstream, and upstreams that fail every request.
 //!
-//! Guards against one caller's request ejecting upstreams that other callers need. If every
-//! upstream answers the request with status 500 and the caller repeats it, three failures in a
-//! row eject an upstream. Failures used to count against whichever upstream ran the request,
-//! without regard to failures of the same request elsewhere: after 30 such requests, a daemon had
-//! ejected 4 of 10 upstreams, the maximum, and refused or delayed requests that these could have
-//! served.
+//! Guards against one caller's request ejecting upstreams that other callers need. Three failures
+//! in a row eject an upstream, and they used to count even if the same request also failed
+//! elsewhere: after 30 requests that every upstream answers with status 500, a daemon had ejected
+//! 4 of 10 upstreams, the maximum, and refused or delayed requests that these could have served.
 
 mod router_support;
 
--- a/shalehinge/tests/focused.rs
+++ b/shalehinge/tests/focused.rs
@@ -177,7 +177,7 @@
     assert_nothing_violated(&world);
 }
 
-/// Prints how long a failure domain is without a holder, for docs/CAPACITY.md.
+/// Prints how long a failure domain is without a lease holder, for docs/CAPACITY.md.
 #[test]
 #[ignore = "a measurement; run by hand with --ignored --nocapture"]
 fn measure_time_from_a_holders_death_to_its_successor() {
--- a/shalehinge/tests/lease.rs
+++ b/shalehinge/tests/lease.rs
@@ -68,7 +68,7 @@
     step(&mut lease, 1_400);
     lease.on_read(at(1_410), held_by_other(5));
     step(&mut lease, 4_200);
-    // The holder's renewal to version 6 was not visible in the stale answers.
+    // The lease holder's renewal to version 6 was not visible in the stale answers.
     lease.on_conflict(at(4_210));
     assert_eq!(lease.held(at(4_220)), None);
     let again = step(&mut lease, 4_220);
--- a/shalehinge/tests/limited_upstreams.rs
+++ b/shalehinge/tests/limited_upstreams.rs
@@ -1,13 +1,11 @@
-//! Overloaded upstreams that name a limit on the requests they accept from all daemons together.
+//! Overloaded upstreams that advertise a limit on the requests they accept from all daemons
+//! together.
 //!
-//! Guards against limits being ignored: two replicas that had named limits of 1.4 and 1.1
-//! requests per second kept receiving 4.6 and 3.3 per second, from seven of nine daemons, none of
-//! which sent more than four requests in four seconds. The limit header was passed through to
-//! callers like any other header and no code read it; both replicas received the same rate before
-//! and after they named their limits.
-//!
-//! Dividing the limit evenly among the daemons would not work either: 340 daemons that may each
-//! send one request can send 340 at once.
+//! Guards against limits being ignored: the header was passed through to callers, and no code read
+//! it. Two replicas with limits of 1.4 and 1.1 requests per second kept receiving 4.6 and 3.3 per
+//! second, as before, from seven of nine daemons, none of which sent more than four requests in
+//! four seconds. Dividing a limit evenly among the daemons would not help: 340 daemons that may
+//! each send one request can send 340 at once.
 
 mod relay_support;
 
@@ -19,7 +17,7 @@
 
 /// Length of the window in which the requests to a limited upstream are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a limit was first named until it must be observed.
+/// Time after a limit was first advertised until it must be observed.
 const LIMIT_DELAY: Duration = Duration::from_secs(3);
 /// The highest number of requests in a window that users tolerate at this limit, in requests per
 /// second.
--- a/shalehinge/tests/ordered_support/mod.rs
+++ b/shalehinge/tests/ordered_support/mod.rs
@@ -102,7 +102,7 @@
     pub crashing_model: Option<ModelName>,
     /// Engines that crashed during a load, and when.
     pub crashes: Vec<(Timestamp, HostId)>,
-    /// Configuration and host list that the controller's daemon knows.
+    /// Configuration and host list that the lease holder knows.
     state: FleetState,
     /// Version of the last host list.
     list_version: u64,
--- a/shalehinge/tests/quarantine_harmless.rs
+++ b/shalehinge/tests/quarantine_harmless.rs
@@ -1,12 +1,11 @@
 //! Harmless requests that are quarantined by mistake.
 //!
 //! Guards against refusing a harmless request for half an hour because it ran at two upstreams as
-//! each crashed, though another request or a dark rack was the cause. Two crashes implicate
-//! everything that ran at both, and only a complete answer ends a quarantine, which a refused
-//! request can never produce; so each suspected request is first run alone in a trial. Without
-//! trials, with three daemons and three replicas, 11 of 30 harmless requests beside one that
-//! crashes its upstreams were refused for all of the 8 s observed, and a repeated request was
-//! refused for as long after two replicas had gone dark while running it.
+//! each crashed, though another request or a failed rack was the cause. Only a complete answer
+//! ends a quarantine, which a refused request never gets, so each suspected request first runs
+//! alone in a trial. Without trials, with three daemons and three replicas, 11 of 30 harmless
+//! requests beside one that crashes its upstreams were refused for all of the 8 s observed, and so
+//! was a repeated request after two replicas had stopped answering while running it.
 //!
 //! A related fault: once all daemons have been killed, nothing is known of earlier crashes, so
 //! the request that caused them crashes two more upstreams.
