--- a/shalehinge/tests/relay_support/platform.rs
+++ b/shalehinge/tests/relay_support/platform.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// A copy of the platform's store.
-struct Copy {
+/// A backup of the platform's store.
+struct Backup {
     revision: u64,
     changes: Vec<(u64, HostId, HostRecord)>,
     configuration: Versioned<FleetConfig>,
@@ -72,8 +72,8 @@
 pub struct Platform {
     era: u32,
     revision: u64,
-    /// The copy that [`Self::restore`] restores.
-    copy: Option<Copy>,
+    /// The backup that [`Self::restore`] restores.
+    backup: Option<Backup>,
     /// Generation of the last configuration written, even if a restore has lost it.
     generation: u64,
     /// All changes of the host list, each with its revision.
@@ -103,7 +103,7 @@
         let mut platform = Self {
             era: 1,
             revision: 1,
-            copy: None,
+            backup: None,
             generation: 0,
             changes: Vec::new(),
             configuration: Versioned {
@@ -164,9 +164,9 @@
         self.configuration.fleet_version()
     }
 
-    /// Takes a copy of the store.
-    pub fn take_copy(&mut self) {
-        self.copy = Some(Copy {
+    /// Takes a backup of the store.
+    pub fn take_backup(&mut self) {
+        self.backup = Some(Backup {
             revision: self.revision,
             changes: self.changes.clone(),
             configuration: self.configuration.clone(),
@@ -174,16 +174,16 @@
         });
     }
 
-    /// Restores the store from the copy in a new era: later writes are lost, and their revisions
+    /// Restores the store from the backup in a new era: later writes are lost, and their revisions
     /// are assigned again.
     pub fn restore(&mut self) {
-        let copy = self.copy.take().expect("copied before");
+        let backup = self.backup.take().expect("backed up before");
         self.era += 1;
-        self.revision = copy.revision;
-        self.changes = copy.changes;
-        self.configuration = copy.configuration;
+        self.revision = backup.revision;
+        self.changes = backup.changes;
+        self.configuration = backup.configuration;
         self.configuration.version = self.version(self.configuration.version.number);
-        self.objects = copy.objects;
+        self.objects = backup.objects;
     }
 
     fn configuration(&self) -> ObjectUpdate {
