--- a/shalehinge/src/core/daemon/mod.rs
+++ b/shalehinge/src/core/daemon/mod.rs
@@ -9,7 +9,7 @@
 //! - `peers`: pulls and notices between daemons
 //! - `quarantine`: exchanges reports of requests that crash upstreams
 //! - `relays`: distributes the host list to daemons that don't read it from the platform
-//! - `control`: the control lease of a failure domain, and the work of its holder
+//! - `control`: the control lease of a failure domain, and the work of the lease holder
 //! - `limits`: enforces, over all daemons, the request rates that overloaded upstreams ask for
 //! - `operators`: plan and confirm calls of operators
 //! - `requests`: requests of callers, and the router's actions
@@ -81,7 +81,7 @@
 const LAST_OUTPUT_PEERS: usize = 12;
 /// Interval at which the lease holder recomputes the demand on the fleet.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of peers notified at once when an object changes.
+/// Number of peers that a daemon notifies when an object changes.
 const NOTICE_FANOUT: usize = 3;
 /// Minimum delay before a failed watch is retried. Random jitter of up to the same length is
 /// added.
@@ -299,7 +299,7 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Finds the service for a proxied request.
+    /// Finds the service for a relayed request.
     ///
     /// # Errors
     ///
@@ -403,7 +403,7 @@
         self.tick_claims(now, out);
         self.tick_router(now, out);
         self.report_suspects(now, out);
-        self.send_quarantine_news(now, out);
+        self.send_quarantine_update(now, out);
         self.tick_limits(now, out);
         self.finish_stop(out);
     }
--- a/shalehinge/src/core/daemon/peers.rs
+++ b/shalehinge/src/core/daemon/peers.rs
@@ -127,8 +127,8 @@
             .any(|answered_at| now.since(answered_at) < FRESH)
     }
 
-    /// Reports replicas that may have lost a member to the daemons that may hold the lease of
-    /// their failure domain.
+    /// Reports replicas that may have lost a member to the possible lease holders of their failure
+    /// domain.
     pub(super) fn report_suspects(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if now < self.next_suspect_report_at {
             return;
@@ -146,7 +146,7 @@
             // The lease holder need not be a candidate any more.
             let membership = &self.membership;
             let mut recipients: BTreeSet<Address> = membership
-                .holder_addresses(now, domain)
+                .lease_holder_addresses(now, domain)
                 .into_iter()
                 .collect();
             recipients.extend(membership.responsible_addresses(
@@ -254,8 +254,8 @@
 
     /// The updates to include in a pull reply. Objects that may be large are sent only for
     /// [`PullTopic::WholeObjects`], of which each daemon has at most one pull open. If every reply
-    /// carried them, a daemon that is behind would receive several whole configurations at once,
-    /// none of them before the pull's time-out, and would stay behind.
+    /// carried them, a daemon that is behind would receive several whole configurations at the
+    /// same time, none of them before the pull's time-out, and would stay behind.
     fn updates_for(&self, topic: PullTopic, known: &VersionDigest) -> Vec<ObjectUpdate> {
         let hosts = self.state.routable_hosts_after(known);
         match topic {
--- a/shalehinge/src/core/objects.rs
+++ b/shalehinge/src/core/objects.rs
@@ -371,7 +371,7 @@
     #[serde(default)]
     pub wanted: BTreeMap<ModelName, u32>,
     /// The model that each free host last held in memory, where engines join groups by order.
-    /// Such a host can join a group of that model at once. The host list doesn't report it.
+    /// Such a host can join a group of that model immediately. The host list doesn't report it.
     #[serde(default)]
     pub held_by_free: BTreeMap<HostId, ModelName>,
 }
@@ -520,15 +520,16 @@
 pub struct LeaseRecord {
     /// The write that stored this value.
     pub operation: OperationId,
-    /// The daemon that holds the lease.
+    /// The lease holder.
     pub holder: DaemonId,
-    /// The run of the holder.
+    /// The run of the lease holder.
     pub incarnation: Incarnation,
-    /// Increases with each new holder; see [`Epoch`].
+    /// Increases with each new lease holder; see [`Epoch`].
     pub epoch: Epoch,
     /// How long a successor must wait after the last change of the record, in milliseconds.
     pub term_ms: u64,
-    /// Whether the holder released the lease on a planned stop, so that a successor need not wait.
+    /// Whether the lease holder released the lease on a planned stop, so that a successor need not
+    /// wait.
     pub released: bool,
 }
 
--- a/shalehinge/src/core/router/quarantine.rs
+++ b/shalehinge/src/core/router/quarantine.rs
@@ -1,6 +1,6 @@
 //! Quarantine of requests that crash the upstreams that run them.
 //!
-//! A client that sends such a request again uses a new request id, usually at another daemon, so
+//! A caller that sends such a request again uses a new request id, usually at another daemon, so
 //! limits on the attempts per request do not stop it. Daemons therefore count lost attempts by
 //! request fingerprint. Once a request was lost at several upstreams and completed at none, it is
 //! suspected, as are others that ran there at the time. A suspected request is run alone in a
@@ -74,7 +74,7 @@
     pub at: Timestamp,
 }
 
-/// Changes to tell other daemons.
+/// Changes to report to other daemons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineUpdate {
     /// Losses, for the daemons that count the losses of all daemons.
@@ -86,7 +86,7 @@
 }
 
 impl QuarantineUpdate {
-    /// Whether there is nothing to tell.
+    /// Whether there is nothing to report.
     pub fn is_empty(&self) -> bool {
         self.losses.is_empty() && self.quarantined.is_empty() && self.completions.is_empty()
     }
@@ -96,16 +96,18 @@
 struct Record {
     /// Crashes since the request last completed, in order of arrival.
     crashes: Vec<(UpstreamId, Timestamp)>,
+    /// When the last known complete answer was received.
     completed_at: Option<Timestamp>,
+    /// The quarantine, which may have expired.
     quarantined: Option<Quarantined>,
 }
 
 impl Record {
     fn last_at(&self) -> Timestamp {
         let crashed_at = self.crashes.last().map(|(_, at)| *at);
-        let held_at = self.quarantined.map(|held| held.last_lost_at);
+        let last_lost_at = self.quarantined.map(|known| known.last_lost_at);
         crashed_at
-            .max(held_at)
+            .max(last_lost_at)
             .max(self.completed_at)
             .unwrap_or_default()
     }
@@ -114,8 +116,11 @@
 /// Lost attempts by request fingerprint, and the quarantines that result from them.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
+    /// What is known about each request.
     records: BTreeMap<Fingerprint, Record>,
+    /// Complete answers received by this daemon, oldest first.
     completions: VecDeque<Completion>,
+    /// Changes that have not been sent to other daemons yet.
     update: QuarantineUpdate,
 }
 
@@ -204,7 +209,7 @@
             last_lost_at: at,
             evidence: record
                 .quarantined
-                .map_or(Evidence::Suspected, |held| held.evidence),
+                .map_or(Evidence::Suspected, |known| known.evidence),
         };
         record.quarantined = Some(quarantined);
         self.update.quarantined.push(quarantined);
@@ -216,7 +221,7 @@
         let record = self.records.entry(loss.fingerprint).or_default();
         let first_lost_at = record
             .quarantined
-            .map_or(loss.at, |held| held.first_lost_at);
+            .map_or(loss.at, |known| known.first_lost_at);
         let quarantined = Quarantined {
             fingerprint: loss.fingerprint,
             first_lost_at,
@@ -273,8 +278,8 @@
     }
 
     /// Applies another daemon's quarantine. Returns whether it is new here or proven for the
-    /// first time. If this daemon received a complete answer since the first loss, it tells all
-    /// daemons of that instead.
+    /// first time. If this daemon received a complete answer since the first loss, it reports
+    /// that to all daemons instead.
     pub fn apply_remote_quarantine(&mut self, quarantined: Quarantined) -> bool {
         let fingerprint = quarantined.fingerprint;
         if let Some(completion) = self.completion_since(fingerprint, quarantined.first_lost_at) {
@@ -285,9 +290,9 @@
         let record = self.records.entry(fingerprint).or_default();
         let known = record.quarantined;
         let is_new = known.is_none_or(|known| quarantined.evidence > known.evidence);
-        let later = known.is_none_or(|known| quarantined.last_lost_at > known.last_lost_at);
+        let is_later = known.is_none_or(|known| quarantined.last_lost_at > known.last_lost_at);
         let is_weaker = known.is_some_and(|known| quarantined.evidence < known.evidence);
-        if is_new || (later && !is_weaker) {
+        if is_new || (is_later && !is_weaker) {
             record.quarantined = Some(quarantined);
         }
         is_new
@@ -325,7 +330,7 @@
             .retain(|_, record| now < record.last_at() + retention);
     }
 
-    /// Takes the changes to tell other daemons; each is returned once.
+    /// Takes the changes to report to other daemons; each is returned once.
     pub fn take_update(&mut self) -> QuarantineUpdate {
         std::mem::take(&mut self.update)
     }
--- a/shalehinge/src/core/router/reports.rs
+++ b/shalehinge/src/core/router/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports from upstreams, and what the router tells other components about its upstreams.
+//! Load reports from upstreams, and what the router reports to other components.
 
 use crate::core::engine::EngineStatus;
 use crate::core::types::{ReplicaId, Timestamp};
@@ -29,6 +29,7 @@
         self.dispatch(now, &target, rng, out);
     }
 
+    /// Finds an upstream and its target by id.
     pub(super) fn find(&mut self, id: &UpstreamId) -> Option<(Target, &mut Upstream)> {
         self.targets.iter_mut().find_map(|(target, state)| {
             let upstream = state.upstreams.iter_mut().find(|u| u.spec.id == *id)?;
--- a/shalehinge/src/core/router/retry_budget.rs
+++ b/shalehinge/src/core/router/retry_budget.rs
@@ -1,13 +1,16 @@
 //! Limits retries to a fraction of the first attempts plus a saved-up burst.
 //!
-//! If many upstreams fail at once, the budget is exhausted and requests end with their current
+//! If many upstreams fail together, the budget is exhausted and requests end with their current
 //! outcome, which prevents a retry storm.
 
 /// The retry budget of one daemon, as a token bucket.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
+    /// Number of retries allowed per first attempt.
     ratio: f64,
+    /// Maximum number of retries saved up.
     burst: f64,
+    /// Number of retries available, possibly fractional.
     tokens: f64,
 }
 
--- a/shalehinge/src/core/router/suspects.rs
+++ b/shalehinge/src/core/router/suspects.rs
@@ -12,6 +12,7 @@
 /// Attempts that were lost at an upstream, until it is known whether the upstream crashed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingCheck {
+    /// The lost attempts.
     losses: Vec<Loss>,
     /// Requests to retry or answer once it is known.
     waiting: Vec<(RequestId, Outcome)>,
@@ -20,7 +21,9 @@
 /// The content and target of a request.
 #[derive(Clone, Debug)]
 pub(super) struct RequestSubject {
+    /// Fingerprint of the content.
     pub(super) fingerprint: Fingerprint,
+    /// The model or service that should run it.
     pub(super) target: Target,
 }
 
@@ -104,12 +107,12 @@
         let Some(check) = self.pending_checks.get(upstream) else {
             return false;
         };
-        let of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
-        let is_there = check.losses.iter().any(|loss| of_request(&loss));
-        let elsewhere = self.pending_checks.values().flat_map(|known| &known.losses);
+        let is_of_request = |loss: &&Loss| loss.fingerprint == subject.fingerprint;
+        let is_lost_at_upstream = check.losses.iter().any(|loss| is_of_request(&loss));
+        let all_losses = self.pending_checks.values().flat_map(|known| &known.losses);
         let crashes =
-            self.quarantine.crashes(subject.fingerprint) + elsewhere.filter(of_request).count();
-        is_there && crashes >= self.settings.quarantine_after as usize
+            self.quarantine.crashes(subject.fingerprint) + all_losses.filter(is_of_request).count();
+        is_lost_at_upstream && crashes >= self.settings.quarantine_after as usize
     }
 
     /// Holds back the outcome of a request until the upstream has been checked.
@@ -186,11 +189,11 @@
                 out.push(no_longer_quarantined(completion.fingerprint));
             }
         }
-        for held in update.quarantined {
-            if self.quarantine.apply_remote_quarantine(held) {
-                out.push(match held.evidence {
-                    Evidence::Suspected => quarantined(held.fingerprint),
-                    Evidence::Proven => proven(held.fingerprint),
+        for entry in update.quarantined {
+            if self.quarantine.apply_remote_quarantine(entry) {
+                out.push(match entry.evidence {
+                    Evidence::Suspected => quarantined(entry.fingerprint),
+                    Evidence::Proven => proven(entry.fingerprint),
                 });
             }
         }
@@ -202,7 +205,7 @@
         }
     }
 
-    /// Takes the quarantine changes to tell other daemons; each is returned once.
+    /// Takes the quarantine changes to report to other daemons; each is returned once.
     pub fn take_quarantine_update(&mut self, now: Timestamp) -> QuarantineUpdate {
         self.quarantine.remove_expired(now, &self.settings);
         self.quarantine.take_update()
--- a/shalehinge/src/operator_api.rs
+++ b/shalehinge/src/operator_api.rs
@@ -70,7 +70,7 @@
     pub free_hosts: usize,
     /// Idle accelerators on hosts that can't form a complete group.
     pub stranded_accelerators: u32,
-    /// Holder of the control lease; known only for the responding daemon's own failure domain.
+    /// Lease holder; known only for the responding daemon's own failure domain.
     pub holder: Option<DaemonId>,
     /// Host groups of the failure domain.
     pub groups: Vec<GroupStatus>,
@@ -211,22 +211,18 @@
         }
         let body = conn.request_body().with_max_len(MAX_BODY_BYTES);
         let Ok(body) = body.read_bytes().await else {
-            return respond_with_error(conn, Status::BadRequest, "failed to read the request body");
+            return respond_with_error(conn, Status::BadRequest, "the body can't be read");
         };
         let call = match parse(&body) {
             Ok(call) => call,
             Err(error) => {
-                let message = format!("invalid request body: {error}");
+                let message = format!("the body can't be read: {error}");
                 return respond_with_error(conn, Status::BadRequest, &message);
             }
         };
         match self.driver.execute_operator_call(call).await {
             Some(answer) => write_json(conn, &answer),
-            None => respond_with_error(
-                conn,
-                Status::ServiceUnavailable,
-                "the daemon is shutting down",
-            ),
+            None => respond_with_error(conn, Status::ServiceUnavailable, "the daemon is stopping"),
         }
     }
 
--- a/shalehinge/tests/router_support/mod.rs
+++ b/shalehinge/tests/router_support/mod.rs
@@ -23,9 +23,10 @@
 };
 use shalehinge::settings::router::RouterSettings;
 
+/// Simulated time between two ticks of the router.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Builds a request.
+/// Builds a request, with a fingerprint if it is not to follow from the request's number.
 #[derive(Clone)]
 pub struct RequestBuilder(RequestMeta, Option<Fingerprint>);
 
@@ -53,23 +54,25 @@
 }
 
 impl RequestBuilder {
+    /// Marks the request as safe to repeat.
     pub fn repeatable(mut self) -> Self {
         self.0.repeatable = true;
         self
     }
 
-    /// It carries an API key that can be revoked.
+    /// Adds an API key that can be revoked.
     pub fn with_key(mut self) -> Self {
         self.0.credential = Some("a-hash".into());
         self
     }
 
-    /// It has the given fingerprint instead of one equal to its number.
+    /// Sets the fingerprint, which is otherwise equal to the request's number.
     pub fn with_fingerprint(mut self, number: u64) -> Self {
         self.1 = Some(Fingerprint(number));
         self
     }
 
+    /// Sets the customer that the request belongs to.
     pub fn with_customer(mut self, customer: &str) -> Self {
         self.0.customer = Customer::new(customer);
         self
@@ -80,12 +83,16 @@
     Target::Model(ModelName::new("m"))
 }
 
-pub struct Harness {
+/// A router with simulated time, which records the attempts and answers that it sends.
+pub struct RouterHarness {
     pub router: Router,
     now: Timestamp,
     rng: SmallRng,
-    replicas: u64,
+    /// Number of replicas that send reports; their numbers start at 0.
+    replica_count: u64,
+    /// Attempts that were sent, by the number of the request.
     sent: BTreeMap<u64, Vec<Attempt>>,
+    /// Outcomes that callers received, by the number of the request.
     answers: BTreeMap<u64, Outcome>,
     /// Whether upstreams at which attempts are lost have crashed.
     pub upstreams_crash: bool,
@@ -95,22 +102,22 @@
     pub defers_checks: bool,
 }
 
-impl Harness {
+impl RouterHarness {
     /// Creates a router that has received reports of all its replicas as complete and idle.
-    pub fn with_replicas(replicas: u64) -> Self {
+    pub fn with_replicas(replica_count: u64) -> Self {
         let settings = RouterSettings::default();
         let mut harness = Self {
             router: Router::new(settings, Incarnation(1)),
             now: Timestamp::from_millis(1_000),
             rng: SmallRng::seed_from_u64(1),
-            replicas,
+            replica_count,
             sent: BTreeMap::new(),
             answers: BTreeMap::new(),
             upstreams_crash: false,
             grants_trials: true,
             defers_checks: false,
         };
-        let specs = (0..replicas).map(spec).collect();
+        let specs = (0..replica_count).map(spec).collect();
         harness
             .router
             .set_topology(Topology::from([(target(), specs)]));
@@ -123,21 +130,22 @@
         self.advance_time(time, true);
     }
 
+    /// Advances time, without reports of replicas.
     pub fn advance_without_reports(&mut self, time: Duration) {
         self.advance_time(time, false);
     }
 
     /// Reduces the topology to the first `replicas` replicas.
-    pub fn keep_replicas(&mut self, replicas: u64) {
-        self.replicas = replicas;
-        let specs = (0..replicas).map(spec).collect();
+    pub fn keep_replicas(&mut self, replica_count: u64) {
+        self.replica_count = replica_count;
+        let specs = (0..replica_count).map(spec).collect();
         self.router
             .set_topology(Topology::from([(target(), specs)]));
     }
 
     /// Fails a report of every replica, so that none counts as complete.
     pub fn fail_all_reports(&mut self) {
-        for number in 0..self.replicas {
+        for number in 0..self.replica_count {
             let mut out = Vec::new();
             let id = spec(number).id;
             let now = self.now;
@@ -145,12 +153,12 @@
                 .on_report(now, now, &id, None, &mut self.rng, &mut out);
             self.handle(out);
         }
-        self.replicas = 0;
+        self.replica_count = 0;
     }
 
     /// Reports a replica as complete, based on a member check of this age.
     pub fn report_with_check_age(&mut self, number: u64, age: Duration) {
-        let mut status = idle(number);
+        let mut status = idle_status(number);
         status.members_age_ms = age.as_millis() as u64;
         let (id, now) = (spec(number).id, self.now);
         let mut out = Vec::new();
@@ -166,8 +174,8 @@
             let mut out = Vec::new();
             for wanted in self.router.reports_wanted(self.now) {
                 let number = wanted.group.map_or(0, |group| group.0);
-                if with_reports && number < self.replicas {
-                    let status = idle(number);
+                if with_reports && number < self.replica_count {
+                    let status = idle_status(number);
                     let (id, now) = (wanted.id, self.now);
                     self.router
                         .on_report(now, now, &id, Some(&status), &mut self.rng, &mut out);
@@ -192,7 +200,7 @@
     }
 
     /// Submits requests until one is not sent immediately.
-    pub fn fill(&mut self) {
+    pub fn fill_upstreams(&mut self) {
         let mut number = 1_000;
         while self.submit(number, request()).is_some() {
             number += 1;
@@ -200,7 +208,7 @@
     }
 
     /// Ends the last attempt of a request, if there is one.
-    pub fn end(&mut self, number: u64, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, number: u64, end: AttemptEnd) {
         self.end_with_attempt_of(number, number, end);
     }
 
@@ -231,7 +239,7 @@
         self.handle(out);
     }
 
-    /// Cancels a request, as its caller left.
+    /// Cancels a request, as when its caller disconnects.
     pub fn cancel(&mut self, number: u64) {
         let mut out = Vec::new();
         self.router.cancel(RequestId(number), &mut out);
@@ -254,15 +262,18 @@
             .collect()
     }
 
+    /// Number of attempts that were sent for a request.
     pub fn attempts(&self, number: u64) -> usize {
         self.sent.get(&number).map_or(0, Vec::len)
     }
 
+    /// Upstream of the first attempt of a request.
     pub fn upstream_of(&self, number: u64) -> Option<UpstreamId> {
         let sent = self.sent.get(&number)?;
         sent.first().map(|attempt| attempt.upstream.clone())
     }
 
+    /// The outcome of a request, if it was answered.
     pub fn answer(&self, number: u64) -> Option<Outcome> {
         self.answers.get(&number).copied()
     }
@@ -329,7 +340,7 @@
     }
 }
 
-fn idle(number: u64) -> EngineStatus {
+fn idle_status(number: u64) -> EngineStatus {
     EngineStatus {
         host: HostId::new("h"),
         phase: EnginePhase::Ready,
